--- a/cli/controller.cpp
+++ b/cli/controller.cpp
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <cstdio>
 
-#include "command.h"
+#include "cli/command.h"
 #include "net/log.h"
 #include "net/toml.h"
 
--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -8,11 +8,11 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "command.h"
-#include "errors.h"
+#include "cli/command.h"
+#include "cli/errors.h"
 #include "lab/compare.h"
-#include "lab/lease_play.h"
-#include "lab/registry_play.h"
+#include "lab/lease_scenario.h"
+#include "lab/registry_scenario.h"
 
 namespace firspool::cli {
 namespace {
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -3,8 +3,8 @@
 #include <exception>
 #include <nlohmann/json.hpp>
 
-#include "command.h"
-#include "errors.h"
+#include "cli/command.h"
+#include "cli/errors.h"
 #include "registry/client_errors.h"
 
 namespace {
--- a/cli/registry.cpp
+++ b/cli/registry.cpp
@@ -13,8 +13,8 @@
 #include <optional>
 #include <sstream>
 
-#include "command.h"
-#include "errors.h"
+#include "cli/command.h"
+#include "cli/errors.h"
 #include "net/log.h"
 #include "net/toml.h"
 #include "registry/client.h"
--- a/cli/targets.cpp
+++ b/cli/targets.cpp
@@ -10,8 +10,8 @@
 #include <set>
 #include <sstream>
 
-#include "command.h"
-#include "errors.h"
+#include "cli/command.h"
+#include "cli/errors.h"
 #include "net/toml.h"
 #include "registry/service.h"
 
--- a/controller/backup.cpp
+++ b/controller/backup.cpp
@@ -1,4 +1,4 @@
-#include "backup.h"
+#include "controller/backup.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/controller/backup.h
+++ b/controller/backup.h
@@ -5,8 +5,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/thread_pool.hpp>
 
+#include "controller/task.h"
 #include "net/backoff.h"
-#include "task.h"
 
 namespace firspool::controller {
 
--- a/controller/call.cpp
+++ b/controller/call.cpp
@@ -1,4 +1,4 @@
-#include "call.h"
+#include "controller/call.h"
 
 #include <algorithm>
 
--- a/controller/call.h
+++ b/controller/call.h
@@ -8,8 +8,8 @@
 
 #include <boost/asio/steady_timer.hpp>
 
+#include "controller/task.h"
 #include "net/backoff.h"
-#include "task.h"
 
 namespace firspool::controller {
 
--- a/controller/config.cpp
+++ b/controller/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "controller/config.h"
 
 #include <unistd.h>
 
--- a/controller/config.h
+++ b/controller/config.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "lease/holder.h"
+#include "lease/lease_state.h"
 #include "net/address.h"
 
 namespace firspool::controller {
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "controller.h"
+#include "controller/controller.h"
 
 #include <nlohmann/json.hpp>
 
--- a/controller/controller.h
+++ b/controller/controller.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "config.h"
+#include "controller/config.h"
+#include "controller/task.h"
 #include "net/http.h"
-#include "task.h"
 
 namespace firspool::controller {
 
--- a/controller/mirror.cpp
+++ b/controller/mirror.cpp
@@ -1,4 +1,4 @@
-#include "mirror.h"
+#include "controller/mirror.h"
 
 #include <algorithm>
 #include <utility>
--- a/controller/mirror.h
+++ b/controller/mirror.h
@@ -5,9 +5,9 @@
 
 #include <boost/asio/steady_timer.hpp>
 
+#include "controller/task.h"
 #include "net/backoff.h"
 #include "net/lines.h"
-#include "task.h"
 
 namespace firspool::controller {
 
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -1,11 +1,11 @@
-#include "task.h"
+#include "controller/task.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "backup.h"
-#include "call.h"
-#include "mirror.h"
+#include "controller/backup.h"
+#include "controller/call.h"
+#include "controller/mirror.h"
 #include "net/clock.h"
 #include "net/log.h"
 #include "net/random.h"
--- a/controller/task.h
+++ b/controller/task.h
@@ -9,10 +9,10 @@
 #include <optional>
 #include <string>
 
-#include "config.h"
-#include "errors.h"
-#include "lease/calls.h"
-#include "lease/shell.h"
+#include "controller/config.h"
+#include "controller/errors.h"
+#include "lease/lease_calls.h"
+#include "lease/lease_client.h"
 #include "net/clock.h"
 #include "net/http.h"
 
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -1,4 +1,4 @@
-#include "clients.h"
+#include "lab/clients.h"
 
 #include <sys/socket.h>
 
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -7,8 +7,8 @@
 #include <memory>
 #include <vector>
 
+#include "lab/simulated_fleet.h"
 #include "net/random.h"
-#include "world.h"
 
 namespace firspool::lab {
 
--- a/lab/compare.cpp
+++ b/lab/compare.cpp
@@ -1,4 +1,4 @@
-#include "compare.h"
+#include "lab/compare.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/compare.h
+++ b/lab/compare.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "report.h"
+#include "lab/report.h"
 
 namespace firspool::lab {
 
--- a/lab/platform.cpp
+++ b/lab/discovery_agent.cpp
@@ -1,4 +1,4 @@
-#include "platform.h"
+#include "lab/discovery_agent.h"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
--- a/lab/platform.h
+++ b/lab/discovery_agent.h
@@ -8,7 +8,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <vector>
 
-#include "world.h"
+#include "lab/simulated_fleet.h"
 
 namespace firspool::lab {
 
--- a/lab/endpoints.cpp
+++ b/lab/endpoints.cpp
@@ -1,4 +1,4 @@
-#include "endpoints.h"
+#include "lab/endpoints.h"
 
 #include <sys/socket.h>
 
--- a/lab/endpoints.h
+++ b/lab/endpoints.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <vector>
 
-#include "receiver.h"
-#include "world.h"
+#include "lab/receiver.h"
+#include "lab/simulated_fleet.h"
 
 namespace firspool::lab {
 
--- a/lab/things.cpp
+++ b/lab/fenced_resource.cpp
@@ -1,4 +1,4 @@
-#include "things.h"
+#include "lab/fenced_resource.h"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
--- a/lab/things.h
+++ b/lab/fenced_resource.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "lease_history.h"
+#include "lab/lease_history.h"
 #include "net/http.h"
 
 namespace firspool::lab {
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "lab/fleet.h"
 
 #include <sys/wait.h>
 
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <fstream>
 
-#include "process.h"
+#include "lab/process.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -14,10 +14,10 @@
 #include <string>
 #include <vector>
 
+#include "lab/discovery_agent.h"
+#include "lab/simulated_fleet.h"
 #include "net/http.h"
 #include "net/lines.h"
-#include "platform.h"
-#include "world.h"
 
 namespace firspool::lab {
 
--- a/lab/history.cpp
+++ b/lab/history.cpp
@@ -1,4 +1,4 @@
-#include "history.h"
+#include "lab/history.h"
 
 #include <nlohmann/json.hpp>
 #include <ostream>
--- a/lab/invariants.cpp
+++ b/lab/invariants.cpp
@@ -1,4 +1,4 @@
-#include "invariants.h"
+#include "lab/invariants.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/invariants.h
+++ b/lab/invariants.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "history.h"
-#include "scenario.h"
+#include "lab/history.h"
+#include "lab/scenario.h"
 
 namespace firspool::lab {
 
--- a/lab/lease_history.cpp
+++ b/lab/lease_history.cpp
@@ -1,4 +1,4 @@
-#include "lease_history.h"
+#include "lab/lease_history.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/lease_history.h
+++ b/lab/lease_history.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "invariants.h"
+#include "lab/invariants.h"
 
 namespace firspool::lab {
 
--- a/lab/lease_rules.cpp
+++ b/lab/lease_rules.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <set>
 
-#include "lease_world.h"
+#include "lab/lease_simulation.h"
 #include "net/random.h"
 
 namespace firspool::lease_world {
--- a/lab/lease_play.cpp
+++ b/lab/lease_scenario.cpp
@@ -1,4 +1,4 @@
-#include "lease_play.h"
+#include "lab/lease_scenario.h"
 
 #include <sys/wait.h>
 
@@ -14,10 +14,10 @@
 #include <set>
 #include <stdexcept>
 
+#include "lab/fenced_resource.h"
 #include "lab/members.h"
 #include "lab/process.h"
-#include "lab/stage.h"
-#include "lab/things.h"
+#include "lab/test_environment.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/lease_play.h
+++ b/lab/lease_scenario.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lease_history.h"
+#include "lab/lease_history.h"
 #include "net/toml.h"
 
 namespace firspool::lab {
--- a/lab/lease_world.cpp
+++ b/lab/lease_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lease_world.h"
+#include "lab/lease_simulation.h"
 
 #include <algorithm>
 #include <deque>
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "net/random.h"
-#include "registry/leases.h"
+#include "registry/lease_table.h"
 
 namespace firspool::lease_world {
 namespace {
--- a/lab/lease_world.h
+++ b/lab/lease_simulation.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "lease/holder.h"
+#include "lease/lease_state.h"
 
 namespace firspool::lease_world {
 
--- a/lab/linear.cpp
+++ b/lab/linearizability.cpp
@@ -1,4 +1,4 @@
-#include "linear.h"
+#include "lab/linearizability.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/link.cpp
+++ b/lab/link.cpp
@@ -1,4 +1,4 @@
-#include "link.h"
+#include "lab/link.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/lab/members.cpp
+++ b/lab/members.cpp
@@ -1,4 +1,4 @@
-#include "members.h"
+#include "lab/members.h"
 
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "process.h"
+#include "lab/process.h"
 
 namespace firspool::lab {
 
--- a/lab/members.h
+++ b/lab/members.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "link.h"
+#include "lab/link.h"
+#include "lab/test_environment.h"
 #include "net/random.h"
-#include "stage.h"
 
 namespace firspool::lab {
 
--- a/lab/plan.cpp
+++ b/lab/plan.cpp
@@ -1,4 +1,4 @@
-#include "plan.h"
+#include "lab/plan.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/plan.h
+++ b/lab/plan.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "scenario.h"
+#include "lab/scenario.h"
 
 namespace firspool::lab {
 
--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -1,4 +1,4 @@
-#include "process.h"
+#include "lab/process.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "errors.h"
+#include "lab/errors.h"
 
 namespace firspool::lab {
 
--- a/lab/receiver.cpp
+++ b/lab/receiver.cpp
@@ -1,4 +1,4 @@
-#include "receiver.h"
+#include "lab/receiver.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/receiver.h
+++ b/lab/receiver.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "lab/plan.h"
 #include "net/random.h"
-#include "plan.h"
 
 namespace firspool::lab {
 
--- a/lab/registry_play.cpp
+++ b/lab/registry_scenario.cpp
@@ -1,4 +1,4 @@
-#include "registry_play.h"
+#include "lab/registry_scenario.h"
 
 #include <algorithm>
 #include <boost/asio/connect.hpp>
@@ -11,12 +11,12 @@
 #include <stdexcept>
 
 #include "lab/errors.h"
-#include "lab/linear.h"
+#include "lab/linearizability.h"
 #include "lab/members.h"
-#include "lab/stage.h"
+#include "lab/test_environment.h"
 #include "net/lines.h"
 #include "net/random.h"
-#include "registry/follow.h"
+#include "registry/list_follower.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/registry_play.h
+++ b/lab/registry_scenario.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "invariants.h"
-#include "members.h"
+#include "lab/invariants.h"
+#include "lab/members.h"
 #include "net/toml.h"
 
 namespace firspool::lab {
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -1,4 +1,4 @@
-#include "report.h"
+#include "lab/report.h"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "errors.h"
+#include "lab/errors.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/report.h
+++ b/lab/report.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "invariants.h"
-#include "play.h"
+#include "lab/invariants.h"
+#include "lab/scenario_runner.h"
 
 namespace firspool::lab {
 
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -1,4 +1,4 @@
-#include "scenario.h"
+#include "lab/scenario.h"
 
 #include <algorithm>
 
--- a/lab/play.cpp
+++ b/lab/scenario_runner.cpp
@@ -1,4 +1,4 @@
-#include "play.h"
+#include "lab/scenario_runner.h"
 
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -18,12 +18,12 @@
 #include <optional>
 #include <set>
 
-#include "clients.h"
-#include "endpoints.h"
-#include "errors.h"
-#include "fleet.h"
-#include "platform.h"
-#include "process.h"
+#include "lab/clients.h"
+#include "lab/discovery_agent.h"
+#include "lab/endpoints.h"
+#include "lab/errors.h"
+#include "lab/fleet.h"
+#include "lab/process.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/play.h
+++ b/lab/scenario_runner.h
@@ -4,8 +4,8 @@
 #include <functional>
 #include <string>
 
-#include "history.h"
-#include "plan.h"
+#include "lab/history.h"
+#include "lab/plan.h"
 
 namespace firspool::lab {
 
--- a/lab/world.cpp
+++ b/lab/simulated_fleet.cpp
@@ -1,6 +1,6 @@
-#include "world.h"
+#include "lab/simulated_fleet.h"
 
-#include "errors.h"
+#include "lab/errors.h"
 
 namespace firspool::lab {
 namespace {
--- a/lab/world.h
+++ b/lab/simulated_fleet.h
@@ -8,10 +8,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "history.h"
-#include "link.h"
+#include "lab/history.h"
+#include "lab/link.h"
+#include "lab/plan.h"
 #include "net/clock.h"
-#include "plan.h"
 
 namespace firspool::lab {
 
--- a/lab/stage.cpp
+++ b/lab/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "stage.h"
+#include "lab/test_environment.h"
 
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
-#include "errors.h"
+#include "lab/errors.h"
 
 namespace firspool::lab {
 
--- a/lease/calls.cpp
+++ b/lease/lease_calls.cpp
@@ -1,4 +1,4 @@
-#include "calls.h"
+#include "lease/lease_calls.h"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
--- a/lease/shell.cpp
+++ b/lease/lease_client.cpp
@@ -1,4 +1,4 @@
-#include "shell.h"
+#include "lease/lease_client.h"
 
 #include <time.h>
 
--- a/lease/shell.h
+++ b/lease/lease_client.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "calls.h"
-#include "holder.h"
+#include "lease/lease_calls.h"
+#include "lease/lease_state.h"
 
 namespace firspool::lease {
 
--- a/lease/holder.cpp
+++ b/lease/lease_state.cpp
@@ -1,4 +1,4 @@
-#include "holder.h"
+#include "lease/lease_state.h"
 
 #include <algorithm>
 #include <iterator>
--- a/net/address.cpp
+++ b/net/address.cpp
@@ -1,12 +1,12 @@
-#include "address.h"
+#include "net/address.h"
 
 #include <charconv>
 #include <chrono>
 #include <stdexcept>
 #include <thread>
 
-#include "error.h"
-#include "stream.h"
+#include "net/error.h"
+#include "net/stream.h"
 
 namespace firspool::net {
 namespace {
--- a/net/backoff.cpp
+++ b/net/backoff.cpp
@@ -1,4 +1,4 @@
-#include "backoff.h"
+#include "net/backoff.h"
 
 #include <algorithm>
 
--- a/net/files.cpp
+++ b/net/files.cpp
@@ -1,4 +1,4 @@
-#include "files.h"
+#include "net/files.h"
 
 #include <fcntl.h>
 
--- a/net/http.cpp
+++ b/net/http.cpp
@@ -1,4 +1,4 @@
-#include "http.h"
+#include "net/http.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -9,8 +9,8 @@
 #include <cstdio>
 #include <iterator>
 
-#include "linger.h"
-#include "stream.h"
+#include "net/linger.h"
+#include "net/stream.h"
 
 namespace firspool::net {
 namespace {
--- a/net/http.h
+++ b/net/http.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "address.h"
+#include "net/address.h"
 
 namespace firspool::net {
 
--- a/net/texts.cpp
+++ b/net/json_splitter.cpp
@@ -1,4 +1,4 @@
-#include "texts.h"
+#include "net/json_splitter.h"
 
 #include <utility>
 
--- a/net/lines.cpp
+++ b/net/lines.cpp
@@ -1,4 +1,4 @@
-#include "lines.h"
+#include "net/lines.h"
 
 #include <array>
 #include <utility>
--- a/net/lines.h
+++ b/net/lines.h
@@ -10,9 +10,9 @@
 #include <memory>
 #include <string>
 
-#include "address.h"
-#include "stream.h"
-#include "texts.h"
+#include "net/address.h"
+#include "net/json_splitter.h"
+#include "net/stream.h"
 
 namespace firspool::net {
 
--- a/net/linger.cpp
+++ b/net/linger.cpp
@@ -1,4 +1,4 @@
-#include "linger.h"
+#include "net/linger.h"
 
 #include <array>
 #include <memory>
--- a/net/linger.h
+++ b/net/linger.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <functional>
 
-#include "stream.h"
+#include "net/stream.h"
 
 namespace firspool::net {
 
--- a/net/log.cpp
+++ b/net/log.cpp
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "net/log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/net/log.h
+++ b/net/log.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "error.h"
+#include "net/error.h"
 
 namespace firspool::net::log {
 
--- a/net/stream.cpp
+++ b/net/stream.cpp
@@ -1,4 +1,4 @@
-#include "stream.h"
+#include "net/stream.h"
 
 #include <boost/beast/core/error.hpp>
 #include <cerrno>
--- a/net/toml.cpp
+++ b/net/toml.cpp
@@ -1,4 +1,4 @@
-#include "toml.h"
+#include "net/toml.h"
 
 #include <toml++/toml.h>
 
--- a/net/toml.h
+++ b/net/toml.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "error.h"
+#include "net/error.h"
 
 namespace firspool::net {
 
--- a/src/policy.cpp
+++ b/policy/policy.cpp
@@ -1,5 +1,5 @@
 // Every decision of firspool. Types, events, actions and the contract: include/firspool/policy.h.
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/settings.cpp
+++ b/policy/settings.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 namespace firspool {
 namespace {
--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -1,4 +1,4 @@
-#include "client.h"
+#include "registry/client.h"
 
 #include <algorithm>
 #include <cctype>
@@ -8,10 +8,10 @@
 #include <stdexcept>
 #include <thread>
 
-#include "client_errors.h"
 #include "net/backoff.h"
 #include "net/lines.h"
 #include "net/random.h"
+#include "registry/client_errors.h"
 
 namespace firspool::registry {
 namespace {
--- a/registry/config.cpp
+++ b/registry/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "registry/config.h"
 
 #include <algorithm>
 #include <set>
--- a/registry/leases.cpp
+++ b/registry/lease_table.cpp
@@ -1,4 +1,4 @@
-#include "leases.h"
+#include "registry/lease_table.h"
 
 #include <algorithm>
 #include <limits>
--- a/registry/follow.cpp
+++ b/registry/list_follower.cpp
@@ -1,12 +1,12 @@
-#include "follow.h"
+#include "registry/list_follower.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "client_errors.h"
 #include "net/clock.h"
 #include "net/log.h"
 #include "net/random.h"
+#include "registry/client_errors.h"
 
 namespace firspool::registry {
 namespace {
--- a/registry/follow.h
+++ b/registry/list_follower.h
@@ -9,9 +9,9 @@
 #include <nlohmann/json_fwd.hpp>
 #include <vector>
 
-#include "guard.h"
 #include "net/backoff.h"
 #include "net/lines.h"
+#include "registry/list_guard.h"
 
 namespace firspool::registry {
 
--- a/registry/guard.cpp
+++ b/registry/list_guard.cpp
@@ -1,8 +1,8 @@
-#include "guard.h"
+#include "registry/list_guard.h"
 
 #include <algorithm>
 
-#include "client_errors.h"
+#include "registry/client_errors.h"
 
 namespace firspool::registry {
 
--- a/registry/guard.h
+++ b/registry/list_guard.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "state.h"
+#include "registry/state.h"
 
 namespace firspool::registry {
 
--- a/registry/replica.cpp
+++ b/registry/replica.cpp
@@ -1,4 +1,4 @@
-#include "replica.h"
+#include "registry/replica.h"
 
 #include <uv.h>
 
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "state.h"
+#include "registry/state.h"
 
 namespace firspool::registry {
 
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -1,4 +1,4 @@
-#include "service.h"
+#include "registry/service.h"
 
 #include <sys/statvfs.h>
 #include <unistd.h>
--- a/registry/service.h
+++ b/registry/service.h
@@ -10,13 +10,13 @@
 #include <optional>
 #include <string>
 
-#include "config.h"
-#include "errors.h"
-#include "hub.h"
 #include "net/clock.h"
 #include "net/http.h"
-#include "replica.h"
-#include "state.h"
+#include "registry/config.h"
+#include "registry/errors.h"
+#include "registry/replica.h"
+#include "registry/state.h"
+#include "registry/watch_broadcaster.h"
 
 namespace firspool::registry {
 
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -1,4 +1,4 @@
-#include "state.h"
+#include "registry/state.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/registry/state.h
+++ b/registry/state.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "leases.h"
+#include "registry/lease_table.h"
 
 namespace firspool::registry {
 
--- a/registry/hub.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -1,4 +1,4 @@
-#include "hub.h"
+#include "registry/watch_broadcaster.h"
 
 #include <boost/asio/post.hpp>
 #include <nlohmann/json.hpp>
--- a/registry/hub.h
+++ b/registry/watch_broadcaster.h
@@ -10,7 +10,7 @@
 #include <nlohmann/json_fwd.hpp>
 
 #include "net/http.h"
-#include "state.h"
+#include "registry/state.h"
 
 namespace firspool::registry {
 
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -1,4 +1,4 @@
-#include "clients.h"
+#include "relay/clients.h"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 
 #include "net/stream.h"
-#include "resp.h"
+#include "relay/resp.h"
 
 namespace firspool::relay {
 namespace {
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -9,8 +9,8 @@
 #include <list>
 #include <memory>
 
-#include "directory.h"
-#include "message.h"
+#include "relay/directory.h"
+#include "relay/message.h"
 
 namespace firspool::relay {
 
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "relay/config.h"
 
 #include <sys/resource.h>
 
@@ -9,8 +9,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "errors.h"
 #include "net/log.h"
+#include "relay/errors.h"
 
 namespace firspool::relay {
 namespace {
--- a/relay/config.h
+++ b/relay/config.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "directory.h"
-#include "registry/follow.h"
+#include "registry/list_follower.h"
+#include "relay/directory.h"
 
 namespace firspool::relay {
 
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -1,4 +1,4 @@
-#include "control.h"
+#include "relay/control.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/relay/control.h
+++ b/relay/control.h
@@ -10,8 +10,8 @@
 #include <optional>
 #include <string>
 
-#include "directory.h"
-#include "fence.h"
+#include "relay/directory.h"
+#include "relay/fence.h"
 
 namespace firspool::relay {
 
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -1,4 +1,4 @@
-#include "directory.h"
+#include "relay/directory.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "firspool/policy.h"
 #include "net/address.h"
+#include "turntally/policy.h"
 
 namespace firspool::relay {
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery.h"
+#include "relay/discovery.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -14,11 +14,11 @@
 #include <string>
 #include <vector>
 
-#include "directory.h"
-#include "message.h"
 #include "net/backoff.h"
 #include "net/lines.h"
 #include "net/stream.h"
+#include "relay/directory.h"
+#include "relay/message.h"
 
 namespace firspool::relay {
 
--- a/relay/durable_clock.cpp
+++ b/relay/durable_clock.cpp
@@ -1,4 +1,4 @@
-#include "durable_clock.h"
+#include "relay/durable_clock.h"
 
 #include <fstream>
 #include <nlohmann/json.hpp>
--- a/relay/fence.cpp
+++ b/relay/fence.cpp
@@ -1,4 +1,4 @@
-#include "fence.h"
+#include "relay/fence.h"
 
 #include <algorithm>
 #include <charconv>
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -1,4 +1,4 @@
-#include "handover.h"
+#include "relay/handover.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -17,10 +17,10 @@
 #include <thread>
 #include <vector>
 
-#include "errors.h"
 #include "net/files.h"
 #include "net/log.h"
 #include "net/stream.h"
+#include "relay/errors.h"
 
 namespace firspool::relay {
 namespace {
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -1,4 +1,4 @@
-#include "journal.h"
+#include "relay/journal.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,8 +9,8 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "errors.h"
 #include "net/files.h"
+#include "relay/errors.h"
 
 namespace firspool::relay {
 namespace {
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "message.h"
+#include "relay/message.h"
 
 namespace firspool::relay {
 
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -6,9 +6,9 @@
 #include <cstdio>
 #include <exception>
 
-#include "config.h"
 #include "net/log.h"
-#include "relay.h"
+#include "relay/config.h"
+#include "relay/relay.h"
 
 namespace {
 
--- a/relay/message.h
+++ b/relay/message.h
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <string>
 
-#include "firspool/policy.h"
 #include "net/clock.h"
+#include "turntally/policy.h"
 
 namespace firspool::relay {
 
--- a/relay/figures.cpp
+++ b/relay/metrics.cpp
@@ -1,4 +1,4 @@
-#include "figures.h"
+#include "relay/metrics.h"
 
 #include <string_view>
 
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -1,4 +1,4 @@
-#include "relay.h"
+#include "relay/relay.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "errors.h"
 #include "net/log.h"
+#include "relay/errors.h"
 
 namespace firspool::relay {
 namespace {
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -12,17 +12,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "clients.h"
-#include "config.h"
-#include "control.h"
-#include "directory.h"
-#include "discovery.h"
-#include "durable_clock.h"
-#include "fence.h"
-#include "figures.h"
-#include "handover.h"
-#include "journal.h"
-#include "upstream.h"
+#include "relay/clients.h"
+#include "relay/config.h"
+#include "relay/control.h"
+#include "relay/directory.h"
+#include "relay/discovery.h"
+#include "relay/durable_clock.h"
+#include "relay/fence.h"
+#include "relay/handover.h"
+#include "relay/journal.h"
+#include "relay/metrics.h"
+#include "relay/upstream.h"
 
 namespace firspool::relay {
 
--- a/relay/resp.cpp
+++ b/relay/resp.cpp
@@ -1,4 +1,4 @@
-#include "resp.h"
+#include "relay/resp.h"
 
 #include <charconv>
 #include <utility>
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -1,4 +1,4 @@
-#include "upstream.h"
+#include "relay/upstream.h"
 
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "directory.h"
-#include "message.h"
 #include "net/stream.h"
+#include "relay/directory.h"
+#include "relay/message.h"
 
 namespace firspool::relay {
 
--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire.h"
+#include "sim/wire.h"
 
 namespace firspool::wire {
 namespace {
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 namespace firspool::wire {
 
--- a/tests/transcript_test.cpp
+++ b/tests/cli/transcript_test.cpp
@@ -1,5 +1,5 @@
 // Approved transcripts of real processes, and the harness that keeps them.
-#include "transcript.h"
+#include "tests/support/transcript.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -15,7 +15,7 @@
 
 #include "net/http.h"
 #include "net/lines.h"
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -4,7 +4,7 @@
 #include <variant>
 #include <vector>
 
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 int main() {
   firspool::Settings settings;
--- a/tests/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -20,7 +20,7 @@
 #include "net/clock.h"
 #include "net/http.h"
 #include "net/toml.h"
-#include "registry/leases.h"
+#include "registry/lease_table.h"
 
 namespace firspool::controller {
 namespace {
--- a/tests/lease_history_test.cpp
+++ b/tests/lab/lease_history_test.cpp
@@ -5,8 +5,8 @@
 
 #include <boost/asio/io_context.hpp>
 
+#include "lab/fenced_resource.h"
 #include "lab/link.h"
-#include "lab/things.h"
 
 namespace firspool::lab {
 namespace {
--- a/tests/lease_play_test.cpp
+++ b/tests/lab/lease_scenario_test.cpp
@@ -1,6 +1,6 @@
 // Short plays of controllers that share a task, with faults between them, the registry and what they change.
 // The long forms are lab/scenarios/lease-*.toml.
-#include "lab/lease_play.h"
+#include "lab/lease_scenario.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/tests/lease_search.cpp
+++ b/tests/lab/lease_search.cpp
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <thread>
 
-#include "lab/lease_world.h"
+#include "lab/lease_simulation.h"
 #include "net/random.h"
 
 namespace {
--- a/tests/lease_world_test.cpp
+++ b/tests/lab/lease_simulation_test.cpp
@@ -1,5 +1,5 @@
 // Leases in simulated time: many seeds hold, each guard is needed, and the rules see what breaks them.
-#include "lab/lease_world.h"
+#include "lab/lease_simulation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/registry_play_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -1,6 +1,6 @@
 // The registry's client side as cores, the checker of histories, and short plays of real registry processes
 // with faults between them. The long forms are lab/scenarios/registry-*.toml.
-#include "lab/registry_play.h"
+#include "lab/registry_scenario.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -11,13 +11,13 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "lab/linear.h"
+#include "lab/linearizability.h"
 #include "lab/report.h"
 #include "net/lines.h"
 #include "net/random.h"
 #include "registry/client_errors.h"
 #include "registry/config.h"
-#include "registry/guard.h"
+#include "registry/list_guard.h"
 #include "registry/replica.h"
 #include "registry/service.h"
 
--- a/tests/lease_shell_test.cpp
+++ b/tests/lease/lease_client_test.cpp
@@ -1,12 +1,12 @@
 // The holder's shell against members that the test plays: whom it asks, how it ends, by which clock it goes.
+#include "lease/lease_client.h"
+
 #include <gtest/gtest.h>
 
 #include <deque>
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "lease/shell.h"
-
 namespace firspool::lease {
 namespace {
 
--- a/tests/lease_test.cpp
+++ b/tests/lease/lease_state_test.cpp
@@ -1,11 +1,11 @@
 // The holder's core.
+#include "lease/lease_state.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <limits>
 
-#include "lease/holder.h"
-
 namespace firspool::lease {
 namespace {
 
--- a/tests/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -6,7 +6,7 @@
 
 #include <deque>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::net {
 namespace {
--- a/tests/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "net/backoff.h"
+#include "net/json_splitter.h"
 #include "net/log.h"
-#include "net/texts.h"
 
 namespace firspool::net {
 namespace {
--- a/tests/relay.h
+++ b/tests/policy/checked_policy.h
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
-#include "firspool/policy.h"
-#include "rules_checker.h"
+#include "tests/policy/rules_checker.h"
+#include "turntally/policy.h"
 
 namespace firspool::testing {
 
--- a/tests/cold_budget_test.cpp
+++ b/tests/policy/cold_budget_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "relay.h"
+#include "tests/policy/checked_policy.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/early_test.cpp
+++ b/tests/policy/early_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <random>
 
-#include "relay.h"
+#include "tests/policy/checked_policy.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -3,7 +3,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "relay.h"
+#include "tests/policy/checked_policy.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <random>
 
-#include "relay.h"
+#include "tests/policy/checked_policy.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/rules_checker.cpp
+++ b/tests/policy/rules_checker.cpp
@@ -1,4 +1,4 @@
-#include "rules_checker.h"
+#include "tests/policy/rules_checker.h"
 
 #include <algorithm>
 
--- a/tests/rules_checker.h
+++ b/tests/policy/rules_checker.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 namespace firspool::testing {
 
--- a/tests/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -3,7 +3,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "firspool/policy.h"
+#include "turntally/policy.h"
 
 namespace firspool {
 namespace {
--- a/tests/window_test.cpp
+++ b/tests/policy/window_test.cpp
@@ -1,7 +1,7 @@
 // Repeats of a keyed class whose window is a second.
 #include <gtest/gtest.h>
 
-#include "relay.h"
+#include "tests/policy/checked_policy.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/leases_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -1,5 +1,5 @@
 // The registry's table of leases.
-#include "registry/leases.h"
+#include "registry/lease_table.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/control_crossing_test.cpp
+++ b/tests/relay/control_crossing_test.cpp
@@ -4,8 +4,8 @@
 #include <boost/asio/post.hpp>
 #include <future>
 
-#include "control.h"
-#include "peers.h"
+#include "relay/control.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -12,8 +12,8 @@
 #include <functional>
 #include <limits>
 
-#include "peers.h"
-#include "upstream.h"
+#include "relay/upstream.h"
+#include "tests/support/peers.h"
 
 namespace firspool::relay {
 namespace {
--- a/tests/customers_test.cpp
+++ b/tests/relay/customers_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/descriptors_test.cpp
+++ b/tests/relay/descriptors_test.cpp
@@ -10,7 +10,7 @@
 #include <chrono>
 #include <csignal>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -1,5 +1,5 @@
 // How relays call discovery: how old their lists get where calls fail, and what that asks of discovery.
-#include "discovery.h"
+#include "relay/discovery.h"
 
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -16,8 +16,8 @@
 #include <thread>
 
 #include "net/backoff.h"
-#include "peers.h"
-#include "registry/follow.h"
+#include "registry/list_follower.h"
+#include "tests/support/peers.h"
 
 namespace firspool::relay {
 namespace {
--- a/tests/flood_test.cpp
+++ b/tests/relay/flood_test.cpp
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <fstream>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -13,9 +13,9 @@
 #include <cstring>
 #include <future>
 
-#include "inside.h"
-#include "peers.h"
 #include "relay/journal.h"
+#include "tests/support/inside.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/notices_test.cpp
+++ b/tests/relay/notices_test.cpp
@@ -4,9 +4,9 @@
 #include <chrono>
 #include <string>
 
-#include "discovery.h"
 #include "net/address.h"
-#include "peers.h"
+#include "relay/discovery.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/operators_test.cpp
+++ b/tests/relay/operators_test.cpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -3,14 +3,14 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "clients.h"
-#include "config.h"
-#include "discovery.h"
-#include "errors.h"
-#include "inside.h"
-#include "journal.h"
-#include "peers.h"
-#include "resp.h"
+#include "relay/clients.h"
+#include "relay/config.h"
+#include "relay/discovery.h"
+#include "relay/errors.h"
+#include "relay/journal.h"
+#include "relay/resp.h"
+#include "tests/support/inside.h"
+#include "tests/support/peers.h"
 
 namespace firspool::relay {
 namespace {
--- a/tests/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <set>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/recovery_test.cpp
+++ b/tests/relay/recovery_test.cpp
@@ -5,9 +5,9 @@
 #include <fstream>
 #include <set>
 
-#include "inside.h"
-#include "peers.h"
 #include "relay/journal.h"
+#include "tests/support/inside.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/shutdown_test.cpp
+++ b/tests/relay/shutdown_test.cpp
@@ -14,9 +14,9 @@
 #include <thread>
 #include <vector>
 
-#include "clients.h"
-#include "inside.h"
-#include "peers.h"
+#include "relay/clients.h"
+#include "tests/support/inside.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/system_faults_test.cpp
+++ b/tests/relay/system_faults_test.cpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <thread>
 
-#include "durable_clock.h"
-#include "journal.h"
-#include "peers.h"
+#include "relay/durable_clock.h"
+#include "relay/journal.h"
+#include "tests/support/peers.h"
 
 namespace firspool::testing {
 namespace {
--- a/tests/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -1,10 +1,10 @@
 // Outcomes of calls, against a host that the test plays.
-#include "upstream.h"
+#include "relay/upstream.h"
 
 #include <atomic>
 #include <functional>
 
-#include "peers.h"
+#include "tests/support/peers.h"
 
 namespace firspool::relay {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/sim/wire_test.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "sim/wire.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/peers.cpp
+++ b/tests/support/peers.cpp
@@ -1,4 +1,4 @@
-#include "peers.h"
+#include "tests/support/peers.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
--- a/tests/peers.h
+++ b/tests/support/peers.h
@@ -17,7 +17,7 @@
 #include <thread>
 #include <vector>
 
-#include "system_faults.h"
+#include "tests/support/system_faults.h"
 
 namespace firspool::testing {
 
--- a/tests/system_faults.cpp
+++ b/tests/support/system_faults.cpp
@@ -1,5 +1,5 @@
 // The library that is loaded into a relay under test, ahead of the C library: see system_faults.h.
-#include "system_faults.h"
+#include "tests/support/system_faults.h"
 
 #include <dlfcn.h>
 #include <fcntl.h>
--- a/tests/transcript.cpp
+++ b/tests/support/transcript.cpp
@@ -1,4 +1,4 @@
-#include "transcript.h"
+#include "tests/support/transcript.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
