--- a/cli/command.h
+++ b/cli/command.h
@@ -8,7 +8,7 @@
 
 #include "registry/client.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 
 // How a command ends, for a shell.
 constexpr int kHeld = 0;
@@ -36,4 +36,4 @@
 void add_registry(CLI::App& app, int& status);
 void add_targets(CLI::App& app, int& status);
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/cli/controller.cpp
+++ b/cli/controller.cpp
@@ -10,7 +10,7 @@
 #include "net/log.h"
 #include "net/toml.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 namespace {
 
 struct Options {
@@ -68,4 +68,4 @@
   run_command->callback([&result] { result = run(options); });
 }
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/cli/errors.h
+++ b/cli/errors.h
@@ -3,7 +3,7 @@
 
 #include "net/error.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 
 class WrongUse : public net::Error {
  public:
@@ -68,4 +68,4 @@
               "a fault of turntally: keep its words and what was asked") {}
 };
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -14,7 +14,7 @@
 #include "lab/lease_scenario.h"
 #include "lab/registry_scenario.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 namespace {
 
 namespace fs = std::filesystem;
@@ -40,7 +40,7 @@
   bool json = false;
 };
 
-std::string beside_this() { return fs::read_symlink("/proc/self/exe").parent_path() / "umberhoist"; }
+std::string beside_this() { return fs::read_symlink("/proc/self/exe").parent_path() / "turntally-relay"; }
 
 std::string program(const std::string& option, const std::string& given) {
   const std::string path = given.empty() ? beside_this() : given;
@@ -300,7 +300,7 @@
   run_command->add_option("--seed", run_options.seed, "what is drawn, to the byte (default 1)");
   run_command->add_option("--out", run_options.out, "the run's folder (default logs/lab/NAME-SEED)");
   run_command->add_option("--relay", run_options.relay,
-                          "the relay program (default: umberhoist beside turntally)");
+                          "the relay program (default: turntally-relay beside turntally)");
   run_command->add_option("--log-level", run_options.level,
                           "of the relays (default info); debug traces each message");
   run_command->add_flag("--json", run_options.json, "figures as JSON");
@@ -320,7 +320,7 @@
   CLI::App* compare_command = lab->add_subcommand("compare", "Play two builds by turns over the same seeds.");
   compare_command->add_option("FILE", compare_options.file, "the scenario, in TOML")->required();
   compare_command->add_option("--a", compare_options.a,
-                              "a relay program (default: umberhoist beside turntally)");
+                              "a relay program (default: turntally-relay beside turntally)");
   compare_command->add_option("--b", compare_options.b, "the other one (default the same)");
   compare_command->add_option("--b-file", compare_options.b_file,
                               "its scenario, where it is another one of the same load and faults");
@@ -328,9 +328,10 @@
   compare_command->add_option("--out", compare_options.out, "the runs' folder");
   compare_command->add_flag("--json", compare_options.json, "differences as JSON");
   compare_command->footer(
-      "Example: turntally lab compare lab/scenarios/herd.toml --a build-old/umberhoist --b build/umberhoist "
+      "Example: turntally lab compare lab/scenarios/herd.toml --a build-old/turntally-relay --b "
+      "build/turntally-relay "
       "--seeds 1..8");
   compare_command->callback([&status] { status = compare(compare_options); });
 }
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using namespace firspool;
+using namespace turntally;
 
 int failed(const net::Error& error) {
   std::fprintf(stderr, "turntally: %s\n  %s [%s]\n", error.what(), error.action().c_str(), error.code());
--- a/cli/registry.cpp
+++ b/cli/registry.cpp
@@ -20,7 +20,7 @@
 #include "registry/client.h"
 #include "registry/service.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 
 using nlohmann::json;
 using registry::Client;
@@ -281,4 +281,4 @@
   restore->add_option("FILE", options.file, "a backup")->required();
 }
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/cli/targets.cpp
+++ b/cli/targets.cpp
@@ -15,7 +15,7 @@
 #include "net/toml.h"
 #include "registry/service.h"
 
-namespace firspool::cli {
+namespace turntally::cli {
 namespace {
 
 using nlohmann::json;
@@ -218,4 +218,4 @@
                 [] { return take_out(options, false); }));
 }
 
-}  // namespace firspool::cli
+}  // namespace turntally::cli
--- a/controller/backup.cpp
+++ b/controller/backup.cpp
@@ -19,7 +19,7 @@
 #include "net/log.h"
 #include "net/random.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 namespace {
 
 namespace fs = std::filesystem;
@@ -300,4 +300,4 @@
                 {"hash", net::hex(last_.hash)}};
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/backup.h
+++ b/controller/backup.h
@@ -8,7 +8,7 @@
 #include "controller/task.h"
 #include "net/backoff.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 // What a backup must be, and what it is called. A core: no I/O.
 struct Backup {
@@ -51,4 +51,4 @@
   boost::asio::thread_pool disk_{1};
 };
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/call.cpp
+++ b/controller/call.cpp
@@ -5,7 +5,7 @@
 #include "net/clock.h"
 #include "net/log.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -105,4 +105,4 @@
   if (!missing.empty()) to["fence_missing"] = missing;
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/call.h
+++ b/controller/call.h
@@ -11,7 +11,7 @@
 #include "controller/task.h"
 #include "net/backoff.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 class CallTask : public Task {
  public:
@@ -37,4 +37,4 @@
   int64_t at_ms_ = 0;         // when it began, by the wall clock; 0: never
 };
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/config.cpp
+++ b/controller/config.cpp
@@ -8,7 +8,7 @@
 #include "net/clock.h"
 #include "net/toml.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 namespace {
 
 using net::Section;
@@ -135,4 +135,4 @@
   return parse(Section::text(name, toml));
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/config.h
+++ b/controller/config.h
@@ -8,7 +8,7 @@
 #include "lease/lease_state.h"
 #include "net/address.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 struct CallKeys {
   std::vector<net::tcp::endpoint> addresses;
@@ -50,4 +50,4 @@
 
 const char* name_of(TaskConfig::Kind kind);
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -4,7 +4,7 @@
 
 #include "net/clock.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 using nlohmann::json;
 
@@ -67,4 +67,4 @@
   return out;
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/controller.h
+++ b/controller/controller.h
@@ -11,7 +11,7 @@
 #include "controller/task.h"
 #include "net/http.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 class Controller {
  public:
@@ -30,4 +30,4 @@
   size_t open_ = 0;
 };
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/errors.h
+++ b/controller/errors.h
@@ -3,7 +3,7 @@
 
 #include "net/error.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 // No answer that says what happened: it may have been done.
 class NoAnswer : public net::Error {
@@ -53,4 +53,4 @@
               "look at discovery; relays go on with the list they have") {}
 };
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/mirror.cpp
+++ b/controller/mirror.cpp
@@ -6,7 +6,7 @@
 #include "net/clock.h"
 #include "net/log.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -225,4 +225,4 @@
   to["watches"] = stream_ != nullptr && alive_watch_;
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/mirror.h
+++ b/controller/mirror.h
@@ -9,7 +9,7 @@
 #include "net/backoff.h"
 #include "net/lines.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 // What is to be written of what discovery has told: lines that came meanwhile are one. A core: no I/O.
 class MirrorLines {
@@ -67,4 +67,4 @@
   net::Time written_ = 0;
 };
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -10,7 +10,7 @@
 #include "net/log.h"
 #include "net/random.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 namespace {
 
 namespace log = net::log;
@@ -224,4 +224,4 @@
   return nullptr;
 }
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/controller/task.h
+++ b/controller/task.h
@@ -16,7 +16,7 @@
 #include "net/clock.h"
 #include "net/http.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 
 class Task {
  public:
@@ -114,4 +114,4 @@
 
 std::unique_ptr<Task> make_task(boost::asio::io_context& io, const Config& config, const TaskConfig& task);
 
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/include/turntally/policy.h
+++ b/include/turntally/policy.h
@@ -1,4 +1,4 @@
-// The interface of firspool: settings, events in, actions out, and the class that decides.
+// The interface of the decision library: settings, events in, actions out, and the class that decides.
 //
 // Contract of Policy::step: call it once for each batch of events, with a clock that never goes back. All
 // events of the batch are folded into the state first, then decisions are taken once. Actions are appended to
@@ -18,7 +18,7 @@
 #include <variant>
 #include <vector>
 
-namespace firspool {
+namespace turntally::policy {
 
 using Time = int64_t;  // microseconds; as a point in time its origin is arbitrary
 
@@ -300,4 +300,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace firspool
+}  // namespace turntally::policy
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/write.hpp>
 #include <charconv>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using Error = boost::system::error_code;
@@ -227,4 +227,4 @@
   }
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -10,7 +10,7 @@
 #include "lab/simulated_fleet.h"
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class Clients {
  public:
@@ -55,4 +55,4 @@
   size_t waiting_ = 0;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/compare.cpp
+++ b/lab/compare.cpp
@@ -6,7 +6,7 @@
 
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr int kDraws = 10'000;
@@ -77,4 +77,4 @@
   return out;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/compare.h
+++ b/lab/compare.h
@@ -6,7 +6,7 @@
 
 #include "lab/report.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct Difference {
   std::string figure;
@@ -27,4 +27,4 @@
 std::vector<Difference> differences(const std::vector<Pair>& pairs);
 std::string table(const std::vector<Difference>& differences);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/discovery_agent.cpp
+++ b/lab/discovery_agent.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -372,4 +372,4 @@
   }
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/discovery_agent.h
+++ b/lab/discovery_agent.h
@@ -10,7 +10,7 @@
 
 #include "lab/simulated_fleet.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class Platform {
  public:
@@ -66,4 +66,4 @@
   net::Random random_;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/endpoints.cpp
+++ b/lab/endpoints.cpp
@@ -6,7 +6,7 @@
 #include <boost/beast/http.hpp>
 #include <charconv>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -308,4 +308,4 @@
   return out;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/endpoints.h
+++ b/lab/endpoints.h
@@ -10,7 +10,7 @@
 #include "lab/receiver.h"
 #include "lab/simulated_fleet.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class Endpoints {
  public:
@@ -49,4 +49,4 @@
   uint64_t refused_ = 0;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/errors.h
+++ b/lab/errors.h
@@ -4,7 +4,7 @@
 
 #include "net/error.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class NoAddresses : public net::Error {
  public:
@@ -41,4 +41,4 @@
               "install gnuplot, or say --no-plots") {}
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/fenced_resource.cpp
+++ b/lab/fenced_resource.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 using nlohmann::json;
 
@@ -65,4 +65,4 @@
                  {"outcome", "none"}});
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/fenced_resource.h
+++ b/lab/fenced_resource.h
@@ -12,7 +12,7 @@
 #include "lab/lease_history.h"
 #include "net/http.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class Thing {
  public:
@@ -36,4 +36,4 @@
   std::unique_ptr<net::HttpServer> server_;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -8,7 +8,7 @@
 
 #include "lab/process.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -309,4 +309,4 @@
   }
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -19,7 +19,7 @@
 #include "net/http.h"
 #include "net/lines.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 // What discovery tells is written to the registry, one write at a time, the newest of each endpoint.
 class Mirror {
@@ -77,4 +77,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/history.cpp
+++ b/lab/history.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr const char* kNames[] = {"put",  "taken",  "refused", "rejected", "silence", "call",
@@ -37,4 +37,4 @@
   for (const Event& event : events) out << to_line(*this, event) << "\n";
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/history.h
+++ b/lab/history.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 enum class What {
   kPut,       // a client sent a message; value: its life in seconds
@@ -62,4 +62,4 @@
 
 std::string to_line(const History& history, const Event& event);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/invariants.cpp
+++ b/lab/invariants.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <tuple>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
@@ -347,4 +347,4 @@
   return Checker(history, rules).run();
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/invariants.h
+++ b/lab/invariants.h
@@ -12,7 +12,7 @@
 #include "lab/history.h"
 #include "lab/scenario.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct Rules {
   std::vector<MessageClass> classes;
@@ -38,4 +38,4 @@
 // one_end, effects, one_out, drained, waits, limits, alive; always all of them, in this order.
 std::vector<Verdict> check(const History& history, const Rules& rules);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/lease_history.cpp
+++ b/lab/lease_history.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using Sort = LeaseRecord::Sort;
@@ -198,4 +198,4 @@
   return out;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/lease_history.h
+++ b/lab/lease_history.h
@@ -7,7 +7,7 @@
 
 #include "lab/invariants.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct LeaseRecord {
   enum class Sort {
@@ -61,4 +61,4 @@
 };
 LeaseFigures figures_of(const LeaseHistory& history);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/lease_rules.cpp
+++ b/lab/lease_rules.cpp
@@ -6,7 +6,7 @@
 #include "lab/lease_simulation.h"
 #include "net/random.h"
 
-namespace firspool::lease_world {
+namespace turntally::lease_world {
 namespace {
 
 using Kind = LeaseEvent::Kind;
@@ -155,4 +155,4 @@
   return out;
 }
 
-}  // namespace firspool::lease_world
+}  // namespace turntally::lease_world
--- a/lab/lease_scenario.cpp
+++ b/lab/lease_scenario.cpp
@@ -19,7 +19,7 @@
 #include "lab/process.h"
 #include "lab/test_environment.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace fs = std::filesystem;
@@ -716,4 +716,4 @@
   return play.run();
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/lease_scenario.h
+++ b/lab/lease_scenario.h
@@ -11,7 +11,7 @@
 #include "lab/lease_history.h"
 #include "net/toml.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct LeaseFault {
   enum class Kind {
@@ -89,4 +89,4 @@
 // Throws std::runtime_error where a run cannot be set up.
 LeasePlayed play_leases(const LeaseScenario& scenario, const LeasePlayOptions& options);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/lease_simulation.cpp
+++ b/lab/lease_simulation.cpp
@@ -9,7 +9,7 @@
 #include "net/random.h"
 #include "registry/lease_table.h"
 
-namespace firspool::lease_world {
+namespace turntally::lease_world {
 namespace {
 
 using lease::Time;
@@ -966,4 +966,4 @@
 
 LeaseHistory play_leases(const LeaseWorldSettings& settings) { return World(settings).run(); }
 
-}  // namespace firspool::lease_world
+}  // namespace turntally::lease_world
--- a/lab/linearizability.cpp
+++ b/lab/linearizability.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr size_t kMostStates = 2'000'000;
@@ -97,4 +97,4 @@
   return text_of(ops[std::min(furthest, ops.size() - 1)]);
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/linearizability.h
+++ b/lab/linearizability.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct Operation {
   enum class Kind {
@@ -29,4 +29,4 @@
 // Empty, or what could not be put in any order: the operation that no order gets past.
 std::string not_linearizable(const std::vector<Operation>& history);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/link.cpp
+++ b/lab/link.cpp
@@ -9,7 +9,7 @@
 #include <chrono>
 #include <string_view>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using Error = boost::system::error_code;
@@ -216,4 +216,4 @@
   return it != by_peer_.end() && it->second->near_open();
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/link.h
+++ b/lab/link.h
@@ -16,7 +16,7 @@
 #include "net/address.h"
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 using net::tcp;
 
@@ -74,4 +74,4 @@
   size_t accepted_ = 0;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/members.cpp
+++ b/lab/members.cpp
@@ -11,7 +11,7 @@
 
 #include "lab/process.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -209,4 +209,4 @@
   return true;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/members.h
+++ b/lab/members.h
@@ -14,7 +14,7 @@
 #include "lab/test_environment.h"
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct MemberSettings {
   std::string program;  // turntally
@@ -83,4 +83,4 @@
   double memory_mb_ = 0;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/plan.cpp
+++ b/lab/plan.cpp
@@ -7,7 +7,7 @@
 
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using net::Random;
@@ -215,4 +215,4 @@
   return out;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/plan.h
+++ b/lab/plan.h
@@ -7,7 +7,7 @@
 
 #include "lab/scenario.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct EndpointPlan {
   std::string id;
@@ -68,4 +68,4 @@
 enum class Target { kRelays, kReceivers, kDiscovery };
 Target target_of(FaultKind kind);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -14,7 +14,7 @@
 
 #include "lab/errors.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 namespace fs = std::filesystem;
 
@@ -96,4 +96,4 @@
   ::prlimit(process, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/process.h
+++ b/lab/process.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct Spawn {
   std::vector<std::string> command;
@@ -30,4 +30,4 @@
 // What it writes to files fails beyond their present size; undone with `full` = false.
 void fill_disk(pid_t process, const std::string& folder, bool full);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/receiver.cpp
+++ b/lab/receiver.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr double kQuick = 0.005;  // how long a call takes that fails at once
@@ -172,4 +172,4 @@
   weight_sum_ = 0;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/receiver.h
+++ b/lab/receiver.h
@@ -13,7 +13,7 @@
 #include "lab/plan.h"
 #include "net/random.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct CallIn {
   uint64_t id = 0;
@@ -103,4 +103,4 @@
   double weight_sum_ = 0;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/registry_scenario.cpp
+++ b/lab/registry_scenario.cpp
@@ -18,7 +18,7 @@
 #include "net/random.h"
 #include "registry/list_follower.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace fs = std::filesystem;
@@ -720,4 +720,4 @@
   return play.run();
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/registry_scenario.h
+++ b/lab/registry_scenario.h
@@ -12,7 +12,7 @@
 #include "lab/members.h"
 #include "net/toml.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct RegistryFault {
   Members::Fault kind = Members::Fault::kKill;
@@ -81,4 +81,4 @@
 // Throws an error of errors.h where a run cannot be set up.
 RegistryPlayed play_registry(const RegistryScenario& scenario, const RegistryPlayOptions& options);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -13,7 +13,7 @@
 
 #include "lab/errors.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace fs = std::filesystem;
@@ -405,4 +405,4 @@
   if (folder.plots) plot(path);
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/report.h
+++ b/lab/report.h
@@ -8,7 +8,7 @@
 #include "lab/invariants.h"
 #include "lab/scenario_runner.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 // Latencies from a message's first hand-in to its delivery, in seconds; from a histogram on a log axis with
 // 1% bins.
@@ -66,4 +66,4 @@
 std::string summary(const History& history, const std::vector<Verdict>& verdicts);
 bool held(const std::vector<Verdict>& verdicts);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using net::Section;
@@ -186,4 +186,4 @@
   return read(Section::text(name, toml));
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -8,7 +8,7 @@
 
 #include "net/toml.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 using net::Range;
 
@@ -142,4 +142,4 @@
 Scenario read_scenario(const std::string& path);
 Scenario parse_scenario(const std::string& name, const std::string& toml);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/scenario_runner.cpp
+++ b/lab/scenario_runner.cpp
@@ -25,7 +25,7 @@
 #include "lab/fleet.h"
 #include "lab/process.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace fs = std::filesystem;
@@ -723,4 +723,4 @@
   return Play(scenario, plan, options).run();
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/scenario_runner.h
+++ b/lab/scenario_runner.h
@@ -7,7 +7,7 @@
 #include "lab/history.h"
 #include "lab/plan.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 struct PlayOptions {
   std::string relay;   // the program
@@ -40,4 +40,4 @@
 // Throws an error of errors.h where a run cannot be set up; what goes wrong in it is in its history.
 Played play(const Scenario& scenario, const Plan& plan, const PlayOptions& options);
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/simulated_fleet.cpp
+++ b/lab/simulated_fleet.cpp
@@ -2,7 +2,7 @@
 
 #include "lab/errors.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 constexpr int kFirstBlock = 64;
@@ -95,4 +95,4 @@
   return it == numbers_.end() ? -1 : it->second;
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/simulated_fleet.h
+++ b/lab/simulated_fleet.h
@@ -13,7 +13,7 @@
 #include "lab/plan.h"
 #include "net/clock.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 // A block of loopback addresses that no other run on this machine has: 127.B.*.*, held by a listener of its
 // own.
@@ -97,4 +97,4 @@
   std::vector<std::vector<std::unique_ptr<Link>>> to_endpoint_;
 };
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/test_environment.cpp
+++ b/lab/test_environment.cpp
@@ -8,7 +8,7 @@
 
 #include "lab/errors.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 double quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
@@ -60,4 +60,4 @@
   }
 }
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lab/test_environment.h
+++ b/lab/test_environment.h
@@ -13,7 +13,7 @@
 #include "net/clock.h"
 #include "net/http.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 
 class Stage {
  public:
@@ -39,4 +39,4 @@
 
 double quantile(std::vector<double> values, double q);  // 0 without any
 
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/lease/lease_calls.cpp
+++ b/lease/lease_calls.cpp
@@ -6,7 +6,7 @@
 
 #include "net/random.h"
 
-namespace firspool::lease {
+namespace turntally::lease {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -97,4 +97,4 @@
   std::make_shared<Attempt>(shared_, std::move(call), std::move(done))->ask();
 }
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/lease/lease_calls.h
+++ b/lease/lease_calls.h
@@ -12,7 +12,7 @@
 #include "net/address.h"
 #include "net/http.h"
 
-namespace firspool::lease {
+namespace turntally::lease {
 
 class Calls {
  public:
@@ -36,4 +36,4 @@
   std::shared_ptr<Shared> shared_;
 };
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -10,7 +10,7 @@
 
 #include "net/log.h"
 
-namespace firspool::lease {
+namespace turntally::lease {
 namespace {
 
 using nlohmann::json;
@@ -186,4 +186,4 @@
       });
 }
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/lease/lease_client.h
+++ b/lease/lease_client.h
@@ -12,7 +12,7 @@
 #include "lease/lease_calls.h"
 #include "lease/lease_state.h"
 
-namespace firspool::lease {
+namespace turntally::lease {
 
 struct ShellSettings {
   HolderSettings holder;
@@ -78,4 +78,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/lease/lease_state.cpp
+++ b/lease/lease_state.cpp
@@ -4,7 +4,7 @@
 #include <iterator>
 #include <limits>
 
-namespace firspool::lease {
+namespace turntally::lease {
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
@@ -191,4 +191,4 @@
   return static_cast<Time>(random_.between(0, static_cast<double>(most)));
 }
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -16,7 +16,7 @@
 
 #include "net/random.h"
 
-namespace firspool::lease {
+namespace turntally::lease {
 
 using Token = uint64_t;  // 0: none
 using Time = int64_t;    // microseconds of a clock that never goes back
@@ -128,4 +128,4 @@
   Time span_ = 0;  // of the next pause
 };
 
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/net/address.cpp
+++ b/net/address.cpp
@@ -8,7 +8,7 @@
 #include "net/error.h"
 #include "net/stream.h"
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 constexpr std::chrono::seconds kMostShortage{5};
@@ -46,4 +46,4 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/address.h
+++ b/net/address.h
@@ -4,7 +4,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 
-namespace firspool::net {
+namespace turntally::net {
 
 using tcp = boost::asio::ip::tcp;
 
@@ -15,4 +15,4 @@
 void listen(tcp::acceptor& acceptor, const tcp::endpoint& address);
 std::string text_of(const tcp::endpoint& address);
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/backoff.cpp
+++ b/net/backoff.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 using std::chrono::milliseconds;
@@ -42,4 +42,4 @@
   return milliseconds(std::uniform_int_distribution<milliseconds::rep>(least.count(), most.count())(random_));
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/backoff.h
+++ b/net/backoff.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <random>
 
-namespace firspool::net {
+namespace turntally::net {
 
 class Backoff {
  public:
@@ -30,4 +30,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/clock.h
+++ b/net/clock.h
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <cstdint>
 
-namespace firspool::net {
+namespace turntally::net {
 
 using Time = int64_t;  // microseconds
 
@@ -27,4 +27,4 @@
   return std::chrono::steady_clock::time_point(std::chrono::microseconds(t));
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/error.h
+++ b/net/error.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-namespace firspool::net {
+namespace turntally::net {
 
 // What a shell's exit status says.
 enum class Family {
@@ -52,4 +52,4 @@
               "see what else listens there, or name another address") {}
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/files.cpp
+++ b/net/files.cpp
@@ -5,7 +5,7 @@
 #include <cerrno>
 #include <thread>
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 constexpr std::chrono::milliseconds kPause{10};
@@ -25,4 +25,4 @@
   }
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/http.cpp
+++ b/net/http.cpp
@@ -12,7 +12,7 @@
 #include "net/linger.h"
 #include "net/stream.h"
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 namespace http = boost::beast::http;
@@ -353,4 +353,4 @@
   return out;
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/http.h
+++ b/net/http.h
@@ -15,7 +15,7 @@
 
 #include "net/address.h"
 
-namespace firspool::net {
+namespace turntally::net {
 
 // A body that many answers share: encoded once, sent many times.
 using Shared = std::shared_ptr<const std::string>;
@@ -110,4 +110,4 @@
 // The same for a thread that may wait.
 std::optional<HttpReply> http_call(const tcp::endpoint& to, HttpCall call);
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/json_splitter.cpp
+++ b/net/json_splitter.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace firspool::net {
+namespace turntally::net {
 
 std::string Texts::take(size_t end) {
   const size_t begin = begin_ == std::string::npos ? end : begin_;
@@ -53,4 +53,4 @@
   return {};
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/json_splitter.h
+++ b/net/json_splitter.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace firspool::net {
+namespace turntally::net {
 
 class Texts {
  public:
@@ -37,4 +37,4 @@
   uint64_t told_ = 0;
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/lines.cpp
+++ b/net/lines.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <utility>
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 namespace http = boost::beast::http;
@@ -90,4 +90,4 @@
   if (const auto ended = ended_) ended(how);
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/lines.h
+++ b/net/lines.h
@@ -14,7 +14,7 @@
 #include "net/json_splitter.h"
 #include "net/stream.h"
 
-namespace firspool::net {
+namespace turntally::net {
 
 class Lines : public std::enable_shared_from_this<Lines> {
  public:
@@ -57,4 +57,4 @@
   std::chrono::steady_clock::time_point whole_;  // when the last text ended, or none had begun
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/linger.cpp
+++ b/net/linger.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <memory>
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 using Error = boost::system::error_code;
@@ -36,4 +36,4 @@
   std::make_shared<Linger>(stream, most.bytes, std::move(over))->read();
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/linger.h
+++ b/net/linger.h
@@ -7,7 +7,7 @@
 
 #include "net/stream.h"
 
-namespace firspool::net {
+namespace turntally::net {
 
 struct LingerLimits {
   size_t bytes = 0;
@@ -19,4 +19,4 @@
 // the stream until then.
 void linger(Stream& stream, LingerLimits most, std::function<void()> over);
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/log.cpp
+++ b/net/log.cpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <memory>
 
-namespace firspool::net::log {
+namespace turntally::net::log {
 namespace {
 
 constexpr std::array kLevels = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn,
@@ -57,4 +57,4 @@
 }
 
 }  // namespace detail
-}  // namespace firspool::net::log
+}  // namespace turntally::net::log
--- a/net/log.h
+++ b/net/log.h
@@ -10,7 +10,7 @@
 
 #include "net/error.h"
 
-namespace firspool::net::log {
+namespace turntally::net::log {
 
 enum class Level { kDebug, kInfo, kWarn, kError };
 
@@ -72,4 +72,4 @@
   detail::event(level, event, more..., "code", error.code(), "what", error.what(), "action", error.action());
 }
 
-}  // namespace firspool::net::log
+}  // namespace turntally::net::log
--- a/net/random.h
+++ b/net/random.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace firspool::net {
+namespace turntally::net {
 
 // SplitMix64 (Steele, Lea, Flood 2014): seeds for streams of their own out of one.
 inline uint64_t mix(uint64_t x) {
@@ -62,4 +62,4 @@
   std::mt19937_64 engine_;
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/stream.cpp
+++ b/net/stream.cpp
@@ -3,7 +3,7 @@
 #include <boost/beast/core/error.hpp>
 #include <cerrno>
 
-namespace firspool::net {
+namespace turntally::net {
 
 bool is_passing_shortage(const boost::system::error_code& error) {
   switch (error.value()) {
@@ -91,4 +91,4 @@
   return error && timed_out ? make_error_code(boost::beast::error::timeout) : error;
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/stream.h
+++ b/net/stream.h
@@ -18,7 +18,7 @@
 #include <memory>
 #include <utility>
 
-namespace firspool::net {
+namespace turntally::net {
 
 using tcp = boost::asio::ip::tcp;
 
@@ -230,4 +230,4 @@
   std::shared_ptr<State> state_;
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/toml.cpp
+++ b/net/toml.cpp
@@ -7,7 +7,7 @@
 #include <numeric>
 #include <sstream>
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 size_t distance(const std::string& a, const std::string& b) {
@@ -211,4 +211,4 @@
   }
 }
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/net/toml.h
+++ b/net/toml.h
@@ -10,7 +10,7 @@
 
 #include "net/error.h"
 
-namespace firspool::net {
+namespace turntally::net {
 
 struct Range {
   double low = 0;
@@ -53,4 +53,4 @@
   std::shared_ptr<State> state_;
 };
 
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/policy/policy.cpp
+++ b/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Every decision of firspool. Types, events, actions and the contract: include/firspool/policy.h.
+// Every decision of the relay. Types, events, actions and the contract: include/turntally/policy.h.
 #include "turntally/policy.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <utility>
 
-namespace firspool {
+namespace turntally::policy {
 namespace {
 
 // ---- Constants ----
@@ -1207,4 +1207,4 @@
   impl_->step(now, events, actions);
 }
 
-}  // namespace firspool
+}  // namespace turntally::policy
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -9,7 +9,7 @@
 
 #include "turntally/policy.h"
 
-namespace firspool {
+namespace turntally::policy {
 namespace {
 
 constexpr int kMostEntries = 100000;  // a list longer than this is a mistake in the text
@@ -220,4 +220,4 @@
   return out;
 }
 
-}  // namespace firspool
+}  // namespace turntally::policy
--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -13,7 +13,7 @@
 #include "net/random.h"
 #include "registry/client_errors.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 using nlohmann::json;
@@ -137,4 +137,4 @@
   }
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/client.h
+++ b/registry/client.h
@@ -11,7 +11,7 @@
 #include "net/address.h"
 #include "net/http.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 class Client {
  public:
@@ -34,4 +34,4 @@
   size_t at_ = 0;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/client_errors.h
+++ b/registry/client_errors.h
@@ -3,7 +3,7 @@
 
 #include "net/error.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 class NoMember : public net::Error {
  public:
@@ -56,4 +56,4 @@
               "see which program answers at the member's address, and its version") {}
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/config.cpp
+++ b/registry/config.cpp
@@ -6,7 +6,7 @@
 
 #include "net/toml.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 std::string address(const net::Section& section, const std::string& key,
@@ -84,4 +84,4 @@
   return read(net::Section::text(name, toml), member);
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/config.h
+++ b/registry/config.h
@@ -8,7 +8,7 @@
 
 #include "net/address.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 struct MemberAddress {
   uint64_t number = 0;  // 1 to 999
@@ -38,4 +38,4 @@
 Config read_config(const std::string& path, uint64_t member = 0);
 Config read_config_text(const std::string& name, const std::string& toml, uint64_t member = 0);
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/errors.h
+++ b/registry/errors.h
@@ -7,7 +7,7 @@
 
 #include "net/error.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 class Error : public net::Error {
  public:
@@ -118,4 +118,4 @@
       : Error(409, "lease_refused", net::Family::kRefused, what, "ask again after wait_ms") {}
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/lease_table.cpp
+++ b/registry/lease_table.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 #include <nlohmann/json.hpp>
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 using nlohmann::json;
@@ -251,4 +251,4 @@
   return out;
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/lease_table.h
+++ b/registry/lease_table.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 using Token = uint64_t;  // 0: none
 using Millis = int64_t;  // a time of the log, or a span of it, in milliseconds
@@ -147,4 +147,4 @@
   Counts counts_;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/list_follower.cpp
+++ b/registry/list_follower.cpp
@@ -8,7 +8,7 @@
 #include "net/random.h"
 #include "registry/client_errors.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 constexpr std::chrono::milliseconds kSilence{3000};  // a line is due every 2 s
@@ -133,4 +133,4 @@
   });
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -13,7 +13,7 @@
 #include "net/lines.h"
 #include "registry/list_guard.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 struct FollowSettings {
   std::vector<net::tcp::endpoint> members;
@@ -66,4 +66,4 @@
   uint64_t moves_ = 0;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -4,7 +4,7 @@
 
 #include "registry/client_errors.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 using nlohmann::json;
 
@@ -147,4 +147,4 @@
   return accept(std::move(list)).front();
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -15,7 +15,7 @@
 
 #include "registry/state.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 class ListGuard {
  public:
@@ -66,4 +66,4 @@
   uint64_t held_total_ = 0;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/replica.cpp
+++ b/registry/replica.cpp
@@ -21,7 +21,7 @@
 
 #include "net/random.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 constexpr uint64_t kPollMs = 20;  // how often the standing is looked at
@@ -541,4 +541,4 @@
   loop_->add({Loop::Task::Kind::kTransfer, 0, {}, id, ""}, std::move(done));
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -16,7 +16,7 @@
 
 #include "registry/state.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 struct Peer {
   uint64_t id = 0;
@@ -94,4 +94,4 @@
   std::shared_ptr<Loop> loop_;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -17,7 +17,7 @@
 #include "net/log.h"
 #include "net/random.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 namespace fs = std::filesystem;
@@ -1003,4 +1003,4 @@
   }
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/service.h
+++ b/registry/service.h
@@ -18,7 +18,7 @@
 #include "registry/state.h"
 #include "registry/watch_broadcaster.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 // An entry as clients write it. Throws std::invalid_argument with what is wrong; `id` may be missing from the
 // JSON, where it must be `id`.
@@ -108,4 +108,4 @@
   std::shared_ptr<Join> join_;
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <tuple>
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 using nlohmann::json;
@@ -488,4 +488,4 @@
   return out;
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/state.h
+++ b/registry/state.h
@@ -18,7 +18,7 @@
 
 #include "registry/lease_table.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 using Revision = uint64_t;
 
@@ -184,4 +184,4 @@
   std::deque<std::string> requests_;  // in their order
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/post.hpp>
 #include <nlohmann/json.hpp>
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 constexpr size_t kSlots = 20;  // quiet lines are spread over their 2 s
@@ -118,4 +118,4 @@
   });
 }
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/registry/watch_broadcaster.h
+++ b/registry/watch_broadcaster.h
@@ -12,7 +12,7 @@
 #include "net/http.h"
 #include "registry/state.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 
 class Hub {
  public:
@@ -72,4 +72,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -13,7 +13,7 @@
 #include "net/stream.h"
 #include "relay/resp.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 constexpr auto kAcceptPause = std::chrono::milliseconds(20);
@@ -515,4 +515,4 @@
   }
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -12,7 +12,7 @@
 #include "relay/directory.h"
 #include "relay/message.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 // Reads the words of MSG.PUT; throws std::invalid_argument with a line for the client.
 Handed parse_put(const std::vector<std::string>& words);
@@ -84,4 +84,4 @@
   std::list<std::shared_ptr<Session>> sessions_;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -12,7 +12,7 @@
 #include "net/log.h"
 #include "relay/errors.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 using nlohmann::json;
@@ -59,7 +59,8 @@
     if (!later.is_array()) throw BadConfig(path + " is no list");
     if (accepted.empty() || !accepted.front().is_object()) return;
     json common = accepted.front();  // of classes and the like each has what all had
-    for (const auto& [key, value] : accepted.front().items()) {
+    for (const auto& entry : accepted.front().items()) {
+      const std::string& key = entry.key();
       const bool everywhere =
           std::all_of(accepted.begin(), accepted.end(), [&](const json& item) { return item.contains(key); });
       if (!everywhere || kOptional.contains(key)) common.erase(key);
@@ -139,9 +140,9 @@
   if (!(disk_mb > 0 && disk_mb < 1e6)) throw BadConfig("limits.disk_mb is out of range");
   out.disk_bytes = static_cast<size_t>(disk_mb * 1e6);
   const json& settings = root.at("settings");
-  out.settings = parse_settings(flatten(settings));
+  out.settings = policy::parse_settings(flatten(settings));
   std::set<std::string> classes;
-  for (const ClassSettings& c : out.settings.classes) {
+  for (const policy::ClassSettings& c : out.settings.classes) {
     if (c.name.empty() || !classes.insert(c.name).second) {
       throw BadConfig("a class has no name of its own");
     }
@@ -202,4 +203,4 @@
   return out;
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/config.h
+++ b/relay/config.h
@@ -10,7 +10,7 @@
 #include "registry/list_follower.h"
 #include "relay/directory.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 struct Config {
   std::string name;
@@ -22,7 +22,7 @@
   uint64_t seed = 0;
   size_t sockets = 1024;
   size_t disk_bytes = 0;
-  Settings settings;
+  policy::Settings settings;
   ListNames names;
   std::vector<std::string> report_fields;
   HostList known;
@@ -40,4 +40,4 @@
 // is not whole.
 void require_keys(const std::string& accepted, const std::string& later);
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -12,7 +12,7 @@
 #include "net/linger.h"
 #include "net/stream.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 namespace http = boost::beast::http;
@@ -208,4 +208,4 @@
   });
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/control.h
+++ b/relay/control.h
@@ -13,7 +13,7 @@
 #include "relay/directory.h"
 #include "relay/fence.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 struct OperatorCall {
   enum class What { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate, kFence };
@@ -56,4 +56,4 @@
   std::list<std::shared_ptr<Caller>> callers_;  // oldest first
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 constexpr Time kKeepGone = 120'000'000;  // no agent is further behind
@@ -23,9 +23,9 @@
     host.id = entry.at("id").get<std::string>();
     host.address = parse_address(entry.at("host_port").get<std::string>());
     const auto phase = entry.at("phase").get<std::string>();
-    host.member.listing = phase == "active"    ? Listing::kReady
-                          : phase == "leaving" ? Listing::kDraining
-                                               : Listing::kGone;
+    host.member.listing = phase == "active"    ? policy::Listing::kReady
+                          : phase == "leaving" ? policy::Listing::kDraining
+                                               : policy::Listing::kGone;
     host.member.zone = index_of(names.zones, entry.at("locality").get<std::string>());
     host.member.kind = index_of(names.kinds, entry.at("flavor").get<std::string>());
     host.member.destination = entry.at("cell").get<int>();
@@ -45,8 +45,8 @@
   return handle != handles_.end() && hosts_.at(handle->second).member.listing >= listed.member.listing;
 }
 
-void Directory::set(const ListedHost& listed, Time now, std::vector<Member>& changed) {
-  const bool left = listed.member.listing == Listing::kGone;
+void Directory::set(const ListedHost& listed, Time now, std::vector<policy::Member>& changed) {
+  const bool left = listed.member.listing == policy::Listing::kGone;
   auto handle = handles_.find(listed.id);
   if (handle == handles_.end()) {
     if (left) return void(gone_.try_emplace(listed.id, now));
@@ -64,16 +64,16 @@
   }
 }
 
-std::optional<MembersChanged> Directory::apply(const HostList& list, Time now) {
+std::optional<policy::MembersChanged> Directory::apply(const HostList& list, Time now) {
   const bool behind = list.revision < revision_;
   revision_ = std::max(revision_, list.revision);
-  auto members = std::make_shared<std::vector<Member>>();
+  auto members = std::make_shared<std::vector<policy::Member>>();
   if (list.complete && !behind) {
     std::set<std::string> listed;
     for (const ListedHost& host : list.hosts) listed.insert(host.id);
     for (auto& [handle, host] : hosts_) {
-      if (listed.contains(host.id) || host.member.listing == Listing::kGone) continue;
-      host.member.listing = Listing::kGone;
+      if (listed.contains(host.id) || host.member.listing == policy::Listing::kGone) continue;
+      host.member.listing = policy::Listing::kGone;
       gone_.try_emplace(host.id, now);
       members->push_back(host.member);
     }
@@ -82,8 +82,8 @@
     if (!behind || !brings_back(listed)) set(listed, now, *members);
   }
   if (members->empty()) return {};
-  MembersChanged out;
-  out.form = MembersChanged::Form::kDelta;
+  policy::MembersChanged out;
+  out.form = policy::MembersChanged::Form::kDelta;
   out.members = std::move(members);
   return out;
 }
@@ -91,7 +91,7 @@
 HostList Directory::read_again(const ListNames& names) const {
   nlohmann::json members = nlohmann::json::array();
   for (const auto& [handle, host] : hosts_) {
-    if (host.member.listing != Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
+    if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
   }
   return parse_list({{"revision", revision_}, {"complete", false}, {"members", members}}, names);
 }
@@ -125,7 +125,7 @@
 
 bool Directory::active(const Endpoint& endpoint) const {
   const ListedHost* host = find(endpoint);
-  return host != nullptr && host->member.listing == Listing::kReady && !suspended(host->id);
+  return host != nullptr && host->member.listing == policy::Listing::kReady && !suspended(host->id);
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -5,7 +5,7 @@
 
 #include "net/log.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 namespace http = boost::beast::http;
@@ -269,4 +269,4 @@
   });
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -20,7 +20,7 @@
 #include "relay/directory.h"
 #include "relay/message.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 // Follows the watch for as long as it lives: a connection that ends or falls silent is opened again.
 // Discovery may move to another address: what the old one has written still counts, so it is heard to its
@@ -103,4 +103,4 @@
   std::shared_ptr<Post> post_;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/durable_clock.cpp
+++ b/relay/durable_clock.cpp
@@ -3,7 +3,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 constexpr char kBootFile[] = "/proc/sys/kernel/random/boot_id";
@@ -33,4 +33,4 @@
   return nlohmann::json{{kBoot, boot_}, {kOffset, offset_}}.dump();
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/durable_clock.h
+++ b/relay/durable_clock.h
@@ -5,7 +5,7 @@
 
 #include "net/clock.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 using net::Time;
 
@@ -39,4 +39,4 @@
   Time offset_ = 0;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/errors.h
+++ b/relay/errors.h
@@ -3,7 +3,7 @@
 
 #include "net/error.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 class NoEnvironment : public net::Error {
  public:
@@ -42,4 +42,4 @@
               "end this process before a new version is started; all else works") {}
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/fence.cpp
+++ b/relay/fence.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 using net::Family;
 
@@ -64,4 +64,4 @@
   }
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/fence.h
+++ b/relay/fence.h
@@ -8,7 +8,7 @@
 
 #include "net/error.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 using Token = uint64_t;
 
@@ -65,4 +65,4 @@
   std::map<std::string, Token> highest_;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -22,7 +22,7 @@
 #include "net/stream.h"
 #include "relay/errors.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 using Error = boost::system::error_code;
@@ -226,4 +226,4 @@
   offer(std::move(asked_));
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 class Descriptor {
  public:
@@ -88,4 +88,4 @@
   std::function<void()> asked_;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -12,7 +12,7 @@
 #include "net/files.h"
 #include "relay/errors.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 constexpr double kFilePart = 0.42;    // of the disk: the old and the new file together stay well under it
@@ -340,4 +340,4 @@
   return true;
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -10,7 +10,7 @@
 
 #include "relay/message.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 struct Sent {  // an attempt that may have run
   Time at = 0;
@@ -85,4 +85,4 @@
   std::map<std::string, std::string> remembered_;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-void await_signal(boost::asio::signal_set& signals, firspool::relay::Relay& relay) {
+void await_signal(boost::asio::signal_set& signals, turntally::relay::Relay& relay) {
   signals.async_wait([&](const boost::system::error_code& error, int number) {
     if (error) return;
     number == SIGHUP ? relay.reload() : relay.stop();
@@ -23,10 +23,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  using namespace firspool;
+  using namespace turntally;
   CLI::App app(
       "A message relay. All but the log's level is told by the environment: PROXY_CONFIG, PROXY_STATE.");
-  app.footer("Example: PROXY_CONFIG=config.json PROXY_STATE=state umberhoist --log-level debug");
+  app.footer("Example: PROXY_CONFIG=config.json PROXY_STATE=state turntally-relay --log-level debug");
   std::string level = "info";
   app.add_option("--log-level", level, "debug (a line for each step of each message), info, warn or error");
   CLI11_PARSE(app, argc, argv);
@@ -45,10 +45,10 @@
     io.run();
     return 0;
   } catch (const net::Error& error) {  // one line, whatever reads it
-    std::fprintf(stderr, "umberhoist: %s (%s)\n", error.what(), error.action().c_str());
+    std::fprintf(stderr, "turntally-relay: %s (%s)\n", error.what(), error.action().c_str());
     return 1;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "umberhoist: %s\n", error.what());
+    std::fprintf(stderr, "turntally-relay: %s\n", error.what());
     return 1;
   }
 }
--- a/relay/message.h
+++ b/relay/message.h
@@ -7,7 +7,10 @@
 #include "net/clock.h"
 #include "turntally/policy.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
+
+using policy::Endpoint;
+using policy::Time;
 
 struct Handed {
   std::string id;
@@ -30,4 +33,4 @@
 using net::steady_now;
 using net::wall_now;
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/metrics.cpp
+++ b/relay/metrics.cpp
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 std::string label(std::string_view value) {
@@ -52,4 +52,4 @@
   return out;
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/metrics.h
+++ b/relay/metrics.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 struct ClassFigures {
   uint64_t success = 0;   // delivered
@@ -36,4 +36,4 @@
   std::string text() const;
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -9,7 +9,7 @@
 #include "net/log.h"
 #include "relay/errors.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 const std::string kHost = "host ";  // names of what is remembered
@@ -69,8 +69,8 @@
 
 // What the module may have out has a descriptor each: a connection that cannot be opened for want of one
 // would pass for a host that is gone.
-Settings within_descriptors(const Config& config) {
-  Settings out = config.settings;
+policy::Settings within_descriptors(const Config& config) {
+  policy::Settings out = config.settings;
   const size_t most = most_calls(config);
   out.slots = std::min(out.slots, most > kProbes ? static_cast<int>(most - kProbes) : 1);
   return out;
@@ -84,7 +84,7 @@
   return out;
 }
 
-bool in_turn(const ClassSettings& rules, uint64_t about) { return rules.in_order && about != 0; }
+bool in_turn(const policy::ClassSettings& rules, uint64_t about) { return rules.in_order && about != 0; }
 
 // -1: it is not among them.
 int place_of(const std::string& name, const std::vector<std::string>& names) {
@@ -96,8 +96,9 @@
   return before >= 0 && before < static_cast<int>(zones.size()) ? zones[static_cast<size_t>(before)] : -1;
 }
 
-bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kMoot;
+bool never_ran(policy::Outcome outcome) {
+  return outcome == policy::Outcome::kFull || outcome == policy::Outcome::kConnectFailed ||
+         outcome == policy::Outcome::kMoot;
 }
 
 DurableClock clock_of(const Journal& journal) {
@@ -105,7 +106,7 @@
   return {DurableClock::read_machine(), stored == journal.remembered().end() ? "" : stored->second};
 }
 
-const char* name_of(Outcome outcome) {
+const char* name_of(policy::Outcome outcome) {
   constexpr const char* kNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
                                     "reset", "cancelled", "moot", "spoilt"};
   return kNames[static_cast<size_t>(outcome)];
@@ -137,8 +138,8 @@
       upstream_(
           io, upstream_limits(config), config.report_fields,
           [this](const Call& call) { return may_start(call); },
-          [this](const AttemptEnded& end, bool began) { ended(end, began); },
-          [this](const ProbeEnded& end) {
+          [this](const policy::AttemptEnded& end, bool began) { ended(end, began); },
+          [this](const policy::ProbeEnded& end) {
             happened(end);
             back(end.endpoint);
           }),
@@ -171,7 +172,7 @@
   const auto& facts = journal_.remembered();
   HostList list;
   list.complete = true;
-  std::vector<DestinationMemory> memories;
+  std::vector<policy::DestinationMemory> memories;
   const auto steady = [this](Time t) { return t == 0 ? 0 : clock_.to_steady(t); };
   nlohmann::json members = nlohmann::json::array();
   for (const auto& [name, value] : facts) {
@@ -203,14 +204,14 @@
       parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.names)
           .hosts;
   if (!list.hosts.empty()) told(list);
-  for (const DestinationMemory& memory : memories) happened(memory);
+  for (const policy::DestinationMemory& memory : memories) happened(memory);
 }
 
 // What is known so far is what the guard begins from.
 void Relay::follow() {
   nlohmann::json members = nlohmann::json::array();
   for (const auto& [handle, host] : directory_.hosts()) {
-    if (host.member.listing != Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
+    if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
   }
   registry::Follower::Listener listener;
   listener.told = [this](const nlohmann::json& line) { told_by_registry(line); };
@@ -253,7 +254,7 @@
   return number;
 }
 
-std::string Relay::rules_text(const ClassSettings& c) const {
+std::string Relay::rules_text(const policy::ClassSettings& c) const {
   return nlohmann::json{{"effect", static_cast<int>(c.effect)},
                         {"scope", static_cast<int>(c.key_scope)},
                         {"window", c.key_window},
@@ -270,8 +271,8 @@
   const nlohmann::json json = nlohmann::json::parse(text);
   MessageRules out;
   out.name = message_class;
-  out.effect = static_cast<Effect>(json.at("effect").get<int>());
-  out.key_scope = static_cast<KeyScope>(json.at("scope").get<int>());
+  out.effect = static_cast<policy::Effect>(json.at("effect").get<int>());
+  out.key_scope = static_cast<policy::KeyScope>(json.at("scope").get<int>());
   out.key_window = json.at("window").get<Time>();
   out.in_order = json.at("in_order").get<bool>();
   out.target = json.at("target").get<Time>();
@@ -303,7 +304,7 @@
     used.insert(held.rules == 0 ? kClass + held.handed.message_class : kRules + std::to_string(held.rules));
   }
   std::set<std::string> texts;
-  for (const ClassSettings& c : config_.settings.classes) texts.insert(rules_text(c));
+  for (const policy::ClassSettings& c : config_.settings.classes) texts.insert(rules_text(c));
   std::vector<std::string> over;
   for (const auto& [name, text] : journal_.remembered()) {
     const bool rules = name.starts_with(kRules);
@@ -318,29 +319,29 @@
 // The module takes messages under rules that the settings have no more.
 void Relay::arrive(const std::vector<Kept>& messages) {
   auto all = settings_told();
-  std::vector<Arrival> arrivals;
+  std::vector<policy::Arrival> arrivals;
   for (const auto& [in, rules] : messages) {
-    const ClassSettings& message_class = rules;
+    const policy::ClassSettings& message_class = rules;
     const auto place = std::find(all->classes.begin(), all->classes.end(), message_class);
     arrivals.push_back(in);
     arrivals.back().message_class = static_cast<int>(place - all->classes.begin());
     if (place == all->classes.end()) all->classes.push_back(message_class);
   }
   const bool more = all->classes.size() > config_.settings.classes.size() || last_over_ != 0;
-  if (more) happened(SettingsChanged{all, {}});
-  for (const Arrival& in : arrivals) happened(in);
-  if (more) happened(SettingsChanged{settings_told(), {}});
+  if (more) happened(policy::SettingsChanged{all, {}});
+  for (const policy::Arrival& in : arrivals) happened(in);
+  if (more) happened(policy::SettingsChanged{settings_told(), {}});
 }
 
 // A lower cap is for what comes: what was taken on under a greater one is still tried, and the module gives
 // nothing back for want of room until it fits well.
-std::shared_ptr<Settings> Relay::settings_told() const {
-  auto out = std::make_shared<Settings>(config_.settings);
+std::shared_ptr<policy::Settings> Relay::settings_told() const {
+  auto out = std::make_shared<policy::Settings>(config_.settings);
   if (last_over_ != 0) out->max_open = std::max(out->max_open, 2 * static_cast<int>(held_.size()));
   return out;
 }
 
-void Relay::remember(const DestinationMemory& memory) {
+void Relay::remember(const policy::DestinationMemory& memory) {
   const auto durable = [this](Time t) { return t == 0 ? 0 : clock_.from_steady(t); };
   const nlohmann::json fact = {{"tokens", memory.tokens},
                                {"out_since", durable(memory.out_since)},
@@ -384,7 +385,7 @@
 
 Figures Relay::figures() const {
   Figures out = counted_;
-  for (const ClassSettings& c : config_.settings.classes) out.classes.try_emplace(c.name);
+  for (const policy::ClassSettings& c : config_.settings.classes) out.classes.try_emplace(c.name);
   out.dispatches = upstream_.written();
   out.concurrent =
       handed_over_ ? 0 : static_cast<size_t>(std::count_if(held_.begin(), held_.end(), [](const auto& held) {
@@ -392,7 +393,7 @@
       }));
   const auto& hosts = directory_.hosts();
   out.targets = static_cast<size_t>(std::count_if(hosts.begin(), hosts.end(), [](const auto& host) {
-    return host.second.member.listing != Listing::kGone;
+    return host.second.member.listing != policy::Listing::kGone;
   }));
   out.targets_disabled = policy_.avoided(steady_now());
   if (fleet_) {
@@ -447,13 +448,13 @@
 // An endpoint that is out by hand may not be listed just now: it can be put back all the same.
 OperatorReply Relay::suspend(const std::string& id, bool out) {
   const ListedHost* host = directory_.find(directory_.handle(id));
-  const bool listed = host != nullptr && host->member.listing != Listing::kGone;
+  const bool listed = host != nullptr && host->member.listing != policy::Listing::kGone;
   if (!listed && !directory_.suspended(id)) return {404, "no such endpoint\n"};
   out ? directory_.suspend(id) : directory_.resume(id);
   journal_.remember(kSuspended + id, out ? "1" : "");
   if (host != nullptr) {
     if (out) upstream_.close_idle(host->member.endpoint);
-    happened(Suspended{host->member.endpoint, out});
+    happened(policy::Suspended{host->member.endpoint, out});
   }
   return {200, out ? "suspended\n" : "resumed\n"};
 }
@@ -462,7 +463,7 @@
 void Relay::resume() {
   const Time now = clock_.now();
   std::vector<Kept> arrivals;
-  std::vector<AttemptEnded> ends;
+  std::vector<policy::AttemptEnded> ends;
   const auto& facts = journal_.remembered();
   for (auto it = facts.lower_bound(kRest); it != facts.end() && it->first.starts_with(kRest); ++it) {
     if (std::stoll(it->second) <= now) continue;
@@ -493,7 +494,7 @@
     held.accepted = true;
     held.rules = entry.rules;
     numbers_[entry.message.id] = number;
-    Arrival in;
+    policy::Arrival in;
     in.id = number;
     in.tenant = tenant_of(entry.message.tenant);
     in.due = held.due;
@@ -531,29 +532,29 @@
   }
   if (held_.size() > static_cast<size_t>(config_.settings.max_open)) last_over_ = last_number_;
   arrive(arrivals);
-  for (AttemptEnded& end : ends) happened(std::move(end));
+  for (policy::AttemptEnded& end : ends) happened(std::move(end));
   std::erase_if(away_, [](const auto& away) { return away.second.number == 0; });
 }
 
 // For the module a call that ended with the process, or in it, ends now: what comes later under its key
 // waits. The host that it went to is not known, and nothing is learnt of the one that stands for it.
-std::optional<AttemptEnded> Relay::cut_off(Arrival& in) const {
+std::optional<policy::AttemptEnded> Relay::cut_off(policy::Arrival& in) const {
   const auto& hosts = directory_.hosts();
   const auto host = std::find_if(hosts.begin(), hosts.end(), [](const auto& entry) {
-    return entry.second.member.listing != Listing::kGone;
+    return entry.second.member.listing != policy::Listing::kGone;
   });
   if (host == hosts.end()) return {};
   constexpr uint64_t kCutOff = uint64_t{1} << 62;  // apart from the calls that are out
-  in.out = Arrival::Out{host->first, in.ran_sent, kCutOff | in.id};
-  AttemptEnded end;
+  in.out = policy::Arrival::Out{host->first, in.ran_sent, kCutOff | in.id};
+  policy::AttemptEnded end;
   end.id = in.id;
   end.attempt = in.attempts - 1;
   end.endpoint = host->first;
-  end.outcome = Outcome::kCancelled;
+  end.outcome = policy::Outcome::kCancelled;
   return end;
 }
 
-bool Relay::rests(const ClassSettings& rules, uint64_t about) const {
+bool Relay::rests(const policy::ClassSettings& rules, uint64_t about) const {
   return in_turn(rules, about) && config_.settings.order_pause > 0;
 }
 
@@ -609,8 +610,8 @@
 void Relay::heard_before(std::optional<Parcel> parcel) {
   if (!parcel) {  // it is gone: what it had out may have run
     while (!away_.empty()) {
-      AttemptEnded lost;
-      lost.outcome = Outcome::kReset;
+      policy::AttemptEnded lost;
+      lost.outcome = policy::Outcome::kReset;
       const std::string id = away_.begin()->first;
       away_ended(id, lost, true);
     }
@@ -620,8 +621,8 @@
     clients_->adopt(parcel->text, parcel->descriptor.release());
   } else if (parcel->kind == Parcel::kEnded) {
     const auto told = nlohmann::json::parse(parcel->text);
-    AttemptEnded end;
-    end.outcome = static_cast<Outcome>(told.at("outcome").get<int>());
+    policy::AttemptEnded end;
+    end.outcome = static_cast<policy::Outcome>(told.at("outcome").get<int>());
     end.final = told.at("final").get<bool>();
     end.took = told.at("took").get<Time>();
     end.wait = told.at("wait").get<Time>();
@@ -632,7 +633,7 @@
   }
 }
 
-void Relay::away_ended(const std::string& id, AttemptEnded end, bool began) {
+void Relay::away_ended(const std::string& id, policy::AttemptEnded end, bool began) {
   const auto found = away_.find(id);
   if (found == away_.end()) return;
   const Away away = std::move(found->second);
@@ -644,7 +645,7 @@
   ended(end, began);
   if (!away.untold || end.final) return;
   Kept kept = *away.untold;
-  Arrival& in = kept.in;
+  policy::Arrival& in = kept.in;
   in.ahead_of_key = true;
   if (began && !never_ran(end.outcome) && !in.ran) {
     in.ran = true;
@@ -655,12 +656,12 @@
 
 // In one turn all goes to the process that asked, but the calls that are out: their ends follow.
 void Relay::hand_over() {
-  happened(Closing{steady_now()});
+  happened(policy::Closing{steady_now()});
   step();
   // Without what the disk had no room for the next process would take messages up that have ended.
   if (!journal_.settle() || !handover_.give_folder()) {
     handover_.withdraw();
-    return happened(Closing{closing_at()});
+    return happened(policy::Closing{closing_at()});
   }
   handed_over_ = true;
   events_.clear();
@@ -704,7 +705,7 @@
   wait_for_end();
 }
 
-void Relay::pass_on(const std::string& id, const AttemptEnded& end, bool began) {
+void Relay::pass_on(const std::string& id, const policy::AttemptEnded& end, bool began) {
   nlohmann::json report = nlohmann::json::array();  // what is no number becomes null
   for (const float value : end.report) report.push_back(value);
   const nlohmann::json told = {{"id", id},           {"outcome", static_cast<int>(end.outcome)},
@@ -725,9 +726,10 @@
   const bool recent = retired != retired_.end() && steady_now() < retired->second.until;
   const bool over = retired != retired_.end() && retired->second.gone && !recent;
   if (message_class < 0 || over) return answer("-ERR unknown class");
-  const ClassSettings& settings = config_.settings.classes[message_class];
+  const policy::ClassSettings& settings = config_.settings.classes[message_class];
   const Time most_life = recent ? std::max(settings.give_up, retired->second.give_up) : settings.give_up;
-  if (settings.effect == Effect::kKeyed && handed.key.empty()) return answer("-ERR no idempotency key");
+  if (settings.effect == policy::Effect::kKeyed && handed.key.empty())
+    return answer("-ERR no idempotency key");
   if (handed.life > most_life + kClockSlack) return answer("-ERR d is too long");
   ClassFigures& figures = counted_.classes[handed.message_class];
   if (!directory_.known(handed.destination)) {
@@ -741,7 +743,7 @@
     return answer(kBusy);
   }
   const uint64_t number = ++last_number_;
-  Arrival in;
+  policy::Arrival in;
   in.id = number;
   in.message_class = message_class;
   in.tenant = tenant_of(handed.tenant);
@@ -765,10 +767,10 @@
   const auto members = change->members;
   net::log::debug("list", "revision", directory_.revision(), "changed", members->size());
   happened(std::move(*change));
-  for (const Member& member : *members) {
+  for (const policy::Member& member : *members) {
     const ListedHost* host = directory_.find(member.endpoint);
     if (host != nullptr) remember_host(*host);
-    if (host != nullptr && directory_.suspended(host->id)) happened(Suspended{member.endpoint, true});
+    if (host != nullptr && directory_.suspended(host->id)) happened(policy::Suspended{member.endpoint, true});
     forget_gone(member.endpoint);
   }
   if (directory_.destinations().size() != destinations) {
@@ -778,7 +780,7 @@
 }
 
 void Relay::remember_host(const ListedHost& host) {
-  const bool gone = host.member.listing == Listing::kGone;
+  const bool gone = host.member.listing == policy::Listing::kGone;
   journal_.remember(kHost + host.id, gone ? "" : host.text);
   journal_.remember(kGone + host.id, gone ? std::to_string(directory_.gone().at(host.id)) : "");
 }
@@ -787,7 +789,7 @@
 // until its last call has ended.
 void Relay::forget_gone(const Endpoint& endpoint) {
   const ListedHost* host = directory_.find(endpoint);
-  if (host == nullptr || host->member.listing != Listing::kGone) return;
+  if (host == nullptr || host->member.listing != policy::Listing::kGone) return;
   upstream_.close_idle(endpoint);
   if (!out_.contains(endpoint)) directory_.forget(endpoint);
 }
@@ -820,12 +822,12 @@
 }
 
 // A class that is gone stays in the settings, as it was, for a while: for clients.
-void Relay::retire(Settings& next) {
+void Relay::retire(policy::Settings& next) {
   const Time now = steady_now();
   std::map<std::string, Retired> retired;
   std::set<std::string> named;
-  for (const ClassSettings& c : next.classes) named.insert(c.name);
-  for (const ClassSettings& old : config_.settings.classes) {
+  for (const policy::ClassSettings& c : next.classes) named.insert(c.name);
+  for (const policy::ClassSettings& old : config_.settings.classes) {
     const auto before = retired_.find(old.name);
     const bool gone = !named.contains(old.name);
     const bool again = gone && before != retired_.end() && before->second.gone;
@@ -853,7 +855,7 @@
   rules_.clear();
   forget_rules();
   if (held_.size() > static_cast<size_t>(config_.settings.max_open)) last_over_ = last_number_;
-  happened(SettingsChanged{settings_told(), std::move(zones)});
+  happened(policy::SettingsChanged{settings_told(), std::move(zones)});
   if (clients_) clients_->limit(most_clients(config_));
   upstream_.set(upstream_limits(config_), config_.report_fields);
   if (renamed) {
@@ -864,7 +866,7 @@
   notices_.move(config_.discovery);
 }
 
-std::pair<int, Endpoint> Relay::lane_of(const Member& member) const {
+std::pair<int, Endpoint> Relay::lane_of(const policy::Member& member) const {
   const auto& kinds = config_.settings.kinds;
   const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].apart;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
@@ -903,7 +905,7 @@
                           zone < zones.size() ? zones[zone] : "");
 }
 
-void Relay::ended(const AttemptEnded& end, bool began) {
+void Relay::ended(const policy::AttemptEnded& end, bool began) {
   const auto held = held_.find(end.id);
   if (handed_over_) {
     if (held != held_.end()) pass_on(held->second.handed.id, end, began);
@@ -923,25 +925,26 @@
                     held->second.handed.destination, "host", host == nullptr ? "" : host->id.c_str(),
                     "outcome", name_of(end.outcome), "took_ms", end.took / kMs, "wait_ms", end.wait / kMs,
                     "final", static_cast<int>(end.final));
-    const bool hanging = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
-                         end.outcome == Outcome::kCancelled || end.outcome == Outcome::kSpoilt;
+    const bool hanging = end.outcome == policy::Outcome::kTimeout || end.outcome == policy::Outcome::kReset ||
+                         end.outcome == policy::Outcome::kCancelled ||
+                         end.outcome == policy::Outcome::kSpoilt;
     const Handed& handed = held->second.handed;
     if (hanging && rests(rules_of(handed.message_class, held->second.rules), handed.about))
       rest(handed.about);
     if (end.final) {
-      if (end.outcome == Outcome::kOk) ++counted_.classes[held->second.handed.message_class].success;
+      if (end.outcome == policy::Outcome::kOk) ++counted_.classes[held->second.handed.message_class].success;
       finish(end.id, {});
     } else if (began && never_ran(end.outcome)) {
       journal_.never_ran(held->second.handed.id, end.attempt);
     }
   }
-  AttemptEnded told = end;
+  policy::AttemptEnded told = end;
   told.began = began;
   happened(std::move(told));
   back(end.endpoint);
 }
 
-void Relay::happened(Event event) {
+void Relay::happened(policy::Event event) {
   if (handed_over_) return;
   events_.push_back(std::move(event));
   if (step_posted_) return;
@@ -952,26 +955,26 @@
 void Relay::step() {
   step_posted_ = false;
   if (handed_over_) return;
-  std::vector<Event> events;
+  std::vector<policy::Event> events;
   events.swap(events_);
-  std::vector<Action> actions;
+  std::vector<policy::Action> actions;
   policy_.step(steady_now(), events, actions);
   answer_pending(actions);
-  for (const Action& action : actions) carry_out(action);
+  for (const policy::Action& action : actions) carry_out(action);
   for (auto& [endpoint, bundle] : std::exchange(joined_, {})) start_call(std::move(bundle));
   arm();
 }
 
 // A message is the relay's from the moment that its record is written; only then its client is told, and only
 // then it may be sent.
-void Relay::answer_pending(const std::vector<Action>& actions) {
+void Relay::answer_pending(const std::vector<policy::Action>& actions) {
   std::map<uint64_t, std::string> turned_away;
   if (!pending_.empty()) {
-    for (const Action& action : actions) {
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    for (const policy::Action& action : actions) {
+      if (const auto* refuse = std::get_if<policy::Refuse>(&action)) {
         const Time ms = (refuse->retry_after + kMs - 1) / kMs;
         turned_away[refuse->id] = ms > 0 ? kRefused + " " + std::to_string(ms) : kRefused;
-      } else if (const auto* fail = std::get_if<Fail>(&action)) {
+      } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
         turned_away[fail->id] = "-ERR failed";
       }
     }
@@ -993,7 +996,7 @@
       } else {
         line->second = kBusy;  // no room on the disk
         ++figures.overload;
-        happened(Withdrawn{item.number});
+        happened(policy::Withdrawn{item.number});
       }
       net::log::debug("put", "id", handed.id, "class", handed.message_class, "destination",
                       handed.destination, "life_ms", handed.life / kMs, "answer", line->second);
@@ -1006,15 +1009,15 @@
   }
 }
 
-void Relay::carry_out(const Action& action) {
-  if (const auto* send = std::get_if<Send>(&action)) {
+void Relay::carry_out(const policy::Action& action) {
+  if (const auto* send = std::get_if<policy::Send>(&action)) {
     const auto held = held_.find(send->id);
     const ListedHost* host = directory_.find(send->endpoint);
     if (held == held_.end() || host == nullptr) {
-      AttemptEnded moot;
+      policy::AttemptEnded moot;
       moot.id = send->id;
       moot.endpoint = send->endpoint;
-      moot.outcome = Outcome::kMoot;
+      moot.outcome = policy::Outcome::kMoot;
       moot.began = false;
       moot.final = held == held_.end();  // given back in this very turn for want of room
       if (!moot.final) moot.attempt = held->second.attempts++;
@@ -1033,30 +1036,30 @@
     call.last = steady_now() + send->timeout >= held->second.due;
     ++out_[call.endpoint];
     join(std::move(call), host->member.kind);
-  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<policy::Refuse>(&action)) {
     const auto held = held_.find(refuse->id);
     if (held != held_.end()) finish(refuse->id, Notice{held->second.handed.id, true, refuse->retry_after});
-  } else if (const auto* fail = std::get_if<Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
     const auto held = held_.find(fail->id);
     if (held != held_.end()) finish(fail->id, Notice{held->second.handed.id, false, 0});
-  } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+  } else if (const auto* cancel = std::get_if<policy::Cancel>(&action)) {
     upstream_.cancel(cancel->id, cancel->attempt);
     const auto held = held_.find(cancel->id);
     if (held != held_.end() && away_.contains(held->second.handed.id)) {
       handover_.tell_before(Parcel::kCancel, held->second.handed.id);
     }
-  } else if (const auto* probe = std::get_if<Probe>(&action)) {
+  } else if (const auto* probe = std::get_if<policy::Probe>(&action)) {
     const ListedHost* host = directory_.find(probe->endpoint);
-    if (host == nullptr) return happened(ProbeEnded{probe->endpoint, false, 0, {}});
+    if (host == nullptr) return happened(policy::ProbeEnded{probe->endpoint, false, 0, {}});
     ++out_[probe->endpoint];
     upstream_.probe(probe->endpoint, host->address);
-  } else if (const auto* close = std::get_if<CloseIdle>(&action)) {
+  } else if (const auto* close = std::get_if<policy::CloseIdle>(&action)) {
     upstream_.close_idle(close->endpoint);
-  } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+  } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
     wake_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
-  } else if (const auto* memory = std::get_if<Remember>(&action)) {
+  } else if (const auto* memory = std::get_if<policy::Remember>(&action)) {
     remember(memory->memory);
-  } else if (const auto* log = std::get_if<Log>(&action)) {
+  } else if (const auto* log = std::get_if<policy::Log>(&action)) {
     net::log::info("decision", "text", log->text);
   }
 }
@@ -1109,7 +1112,7 @@
                                   [this](const auto& entry) { return entry.first <= last_over_; });
   if (2 * over > config_.settings.max_open) return;
   last_over_ = 0;
-  happened(SettingsChanged{settings_told(), {}});
+  happened(policy::SettingsChanged{settings_told(), {}});
 }
 
 // Its client may hand a message in again once it is told of the end: the next process must not call it then.
@@ -1145,7 +1148,7 @@
   wake_timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
     armed_ = 0;
-    happened(TimerFired{static_cast<uint64_t>(std::exchange(wake_, 0))});
+    happened(policy::TimerFired{static_cast<uint64_t>(std::exchange(wake_, 0))});
   });
 }
 
@@ -1154,7 +1157,7 @@
   stopping_since_ = steady_now();
   net::log::info("stopping", "held", held_.size(), "handed_over", handed_over_ ? 1 : 0);
   if (handed_over_) return;  // it ends as soon as it can
-  happened(Closing{closing_at()});
+  happened(policy::Closing{closing_at()});
   wait_for_end();
 }
 
@@ -1196,4 +1199,4 @@
   });
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -24,7 +24,7 @@
 #include "relay/metrics.h"
 #include "relay/upstream.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 class Relay {
  public:
@@ -56,17 +56,17 @@
     Time give_up = 0;
     bool gone = false;  // it is in the settings only for this
   };
-  struct MessageRules : ClassSettings {  // as they were when a message came
+  struct MessageRules : policy::ClassSettings {  // as they were when a message came
     int most_attempts = 0;
   };
   struct Kept {  // a message of the process before
-    Arrival in;
+    policy::Arrival in;
     MessageRules rules;
   };
   struct Away {  // a message whose call the process before still has out
     uint64_t number = 0;
     int attempt = 0;
-    Arrival::Out call;
+    policy::Arrival::Out call;
     std::optional<Kept> untold;  // its host is not listed any more: told once the call has ended
   };
   struct UnrecordedEnd {  // the disk did not take its record: told once it has, or when no process calls the
@@ -88,41 +88,41 @@
   void told_by_registry(const nlohmann::json& line);
   int64_t rules_now(const std::string& message_class);
   static MessageRules read_rules(const std::string& message_class, const std::string& text);
-  std::string rules_text(const ClassSettings& message_class) const;
+  std::string rules_text(const policy::ClassSettings& message_class) const;
   MessageRules rules_of(const std::string& message_class, int64_t number) const;
   void forget_rules();
   void arrive(const std::vector<Kept>& messages);
-  std::shared_ptr<Settings> settings_told() const;
+  std::shared_ptr<policy::Settings> settings_told() const;
   int zone_of(const Sent& sent) const;
-  bool rests(const ClassSettings& rules, uint64_t about) const;
+  bool rests(const policy::ClassSettings& rules, uint64_t about) const;
   bool has_turn(const Held& held) const;
   void rest(uint64_t about);
-  std::optional<AttemptEnded> cut_off(Arrival& in) const;
+  std::optional<policy::AttemptEnded> cut_off(policy::Arrival& in) const;
   void open();
   void resume();
   void take_over();
   bool resume_away(Kept& kept, Away& away);
   void heard_before(std::optional<Parcel> parcel);
-  void away_ended(const std::string& id, AttemptEnded end, bool began);
+  void away_ended(const std::string& id, policy::AttemptEnded end, bool began);
   void hand_over();
   void give_up_calls();
-  void pass_on(const std::string& id, const AttemptEnded& end, bool began);
-  void remember(const DestinationMemory& memory);
+  void pass_on(const std::string& id, const policy::AttemptEnded& end, bool began);
+  void remember(const policy::DestinationMemory& memory);
   void remember_host(const ListedHost& host);
   void forget_gone(const Endpoint& endpoint);
-  void retire(Settings& next);
+  void retire(policy::Settings& next);
   void apply(const Config& next);
   int class_of(const std::string& name) const;
   int tenant_of(const std::string& name) const;
   void put(Handed handed, Clients::Answer answer);
   void told(const HostList& list);
   bool may_start(const Call& call);
-  void ended(const AttemptEnded& end, bool began);
+  void ended(const policy::AttemptEnded& end, bool began);
   void back(const Endpoint& endpoint);
-  void happened(Event event);
+  void happened(policy::Event event);
   void step();
-  void answer_pending(const std::vector<Action>& actions);
-  void carry_out(const Action& action);
+  void answer_pending(const std::vector<policy::Action>& actions);
+  void carry_out(const policy::Action& action);
   void join(Call call, int kind);
   void start_call(std::vector<Call> bundle);
   void finish(uint64_t number, std::optional<Notice> notice);
@@ -131,7 +131,7 @@
   void arm();
   Time closing_at() const;
   void wait_for_end();
-  std::pair<int, Endpoint> lane_of(const Member& member) const;
+  std::pair<int, Endpoint> lane_of(const policy::Member& member) const;
 
   boost::asio::io_context& io_;
   Config config_;
@@ -146,8 +146,8 @@
   Journal journal_;
   DurableClock clock_;  // of all times in the journal
   Fences fences_;
-  Policy policy_;
-  std::vector<Event> events_;
+  policy::Policy policy_;
+  std::vector<policy::Event> events_;
   std::vector<Pending> pending_;
   bool step_posted_ = false;
   uint64_t last_number_ = 0;
@@ -178,4 +178,4 @@
   Figures counted_;  // what is counted here; the rest is looked up
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/resp.cpp
+++ b/relay/resp.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <utility>
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 constexpr size_t kMostDigits = 7;
@@ -58,4 +58,4 @@
   return out;
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 class RespError : public std::runtime_error {
  public:
@@ -34,4 +34,4 @@
   size_t read_ = 0;  // what stands before it was returned
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -12,7 +12,7 @@
 #include <limits>
 #include <optional>
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 namespace http = boost::beast::http;
@@ -142,7 +142,7 @@
     connect();
   }
 
-  void cancel() { give_up(Outcome::kCancelled); }
+  void cancel() { give_up(policy::Outcome::kCancelled); }
 
   void orphan() {
     over_ = true;
@@ -154,10 +154,10 @@
  private:
   struct Part {
     Call call;
-    std::optional<Outcome> outcome;  // its own, where the answer tells the messages apart
-    bool gone = false;               // and it says that the message is over
-    bool began = false;              // MayStart allowed it
-    bool sent = false;               // and it is in the request
+    std::optional<policy::Outcome> outcome;  // its own, where the answer tells the messages apart
+    bool gone = false;                       // and it says that the message is over
+    bool began = false;                      // MayStart allowed it
+    bool sent = false;                       // and it is in the request
     bool over = false;
   };
 
@@ -188,7 +188,7 @@
     arm(std::min(deadline_, begun_ + owner_->limits_.connect_timeout));
     stream_.async_connect(address_, [self = shared_from_this()](const Error& error) {
       if (self->over_) return;
-      if (error) return self->finish(Outcome::kConnectFailed);
+      if (error) return self->finish(policy::Outcome::kConnectFailed);
       self->arm(self->deadline_);
       self->write();
     });
@@ -209,12 +209,12 @@
 
   void expire() {
     const Time now = steady_now();
-    if (now >= until_) return give_up(Outcome::kTimeout);
+    if (now >= until_) return give_up(policy::Outcome::kTimeout);
     const auto self = shared_from_this();
     if (now >= whole_by_) {
-      if (!written_) return finish(Outcome::kMoot);
+      if (!written_) return finish(policy::Outcome::kMoot);
       whole_by_ = kNever;
-      if (held_back()) return give_up(Outcome::kTimeout);
+      if (held_back()) return give_up(policy::Outcome::kTimeout);
     }
     const bool due = std::any_of(parts_.begin(), parts_.end(), [&](const Part& part) {
       return !part.over && now >= begun_ + part.call.timeout;
@@ -222,19 +222,19 @@
     if (due && written_) receive();
     if (over_) return;
     // What goes on to be written may run, each message of it.
-    if (due && unsent_ && !written_) return give_up(Outcome::kTimeout);
+    if (due && unsent_ && !written_) return give_up(policy::Outcome::kTimeout);
     for (Part& part : parts_) {
-      if (!part.over && now >= begun_ + part.call.timeout) end(part, unanswered(Outcome::kTimeout));
+      if (!part.over && now >= begun_ + part.call.timeout) end(part, unanswered(policy::Outcome::kTimeout));
     }
     if (std::all_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.over; })) {
-      return give_up(Outcome::kTimeout);
+      return give_up(policy::Outcome::kTimeout);
     }
     arm(until_);
   }
 
   // What was never wholly written cannot have run.
-  Outcome unanswered(Outcome outcome) const {
-    return heard_ ? Outcome::kSpoilt : written_ ? outcome : Outcome::kConnectFailed;
+  policy::Outcome unanswered(policy::Outcome outcome) const {
+    return heard_ ? policy::Outcome::kSpoilt : written_ ? outcome : policy::Outcome::kConnectFailed;
   }
 
   // The host has no room for what was written, and the system sends it whenever it has, also after a close
@@ -245,7 +245,7 @@
   }
 
   // What is there by now counts: the close would lose it.
-  void give_up(Outcome outcome) {
+  void give_up(policy::Outcome outcome) {
     if (written_) receive();
     if (over_) return;
     Error ignored;
@@ -266,13 +266,13 @@
     }
     if (going.empty()) {
       idle_ = true;
-      return finish(Outcome::kMoot);
+      return finish(policy::Outcome::kMoot);
     }
     // Asking puts the calls on record, and meanwhile the host may have written or ended the connection.
     if (kept_ && !usable(stream_)) return connect_anew();
     for (Part& part : parts_) {
       if (!part.over && std::find(going.begin(), going.end(), &part) == going.end()) {
-        end(part, Outcome::kMoot);
+        end(part, policy::Outcome::kMoot);
       }
     }
     bundle_ = going.size() > 1;
@@ -312,13 +312,13 @@
       http::write_some(stream_, *unsent_, error);
     }
     if (error == boost::asio::error::would_block) {
-      return stream_.socket().async_wait(tcp::socket::wait_write,
-                                         [self = shared_from_this()](const Error& failed) {
-                                           if (self->over_) return;
-                                           failed ? self->finish(Outcome::kConnectFailed) : self->write_on();
-                                         });
+      return stream_.socket().async_wait(
+          tcp::socket::wait_write, [self = shared_from_this()](const Error& failed) {
+            if (self->over_) return;
+            failed ? self->finish(policy::Outcome::kConnectFailed) : self->write_on();
+          });
     }
-    if (error) return finish(Outcome::kConnectFailed);
+    if (error) return finish(policy::Outcome::kConnectFailed);
     written_ = true;
     if (!probe_) {
       owner_->written_ += static_cast<size_t>(
@@ -385,7 +385,7 @@
 
   // The host ended the connection, which may be how it marks an answer's end.
   void ended(const Error& error) {
-    if (!heard_) return finish(Outcome::kReset);
+    if (!heard_) return finish(policy::Outcome::kReset);
     Error cut;
     if (error == boost::asio::error::eof && parser_ && parser_->is_header_done()) {
       parser_->put_eof(cut);
@@ -398,7 +398,7 @@
   // says so; that is not enough for a bundle, whose messages may fare differently.
   void spoilt() {
     final_ = delivered_ && !bundle_;
-    finish(final_ ? Outcome::kOk : Outcome::kSpoilt);
+    finish(final_ ? policy::Outcome::kOk : policy::Outcome::kSpoilt);
   }
 
   // A line for each message; all of them or none are believed.
@@ -416,13 +416,13 @@
       if (space == std::string_view::npos || part == parts_.end()) return false;
       const std::string_view what = line.substr(space + 1);
       if (what == "done") {
-        part->outcome = Outcome::kOk;
+        part->outcome = policy::Outcome::kOk;
       } else if (what == "failed") {
-        part->outcome = Outcome::kError;
+        part->outcome = policy::Outcome::kError;
       } else if (what == "busy") {
-        part->outcome = Outcome::kFull;
+        part->outcome = policy::Outcome::kFull;
       } else if (what == "void" || what == "used_up") {
-        part->outcome = Outcome::kMoot;
+        part->outcome = policy::Outcome::kMoot;
         part->gone = what == "void";
       } else {
         return false;
@@ -443,26 +443,26 @@
             return spoilt();
           }
           wait_ = parse_wait(view(answer[http::field::retry_after]));
-          return finish(Outcome::kOk);
+          return finish(policy::Outcome::kOk);
         }
         final_ = true;
-        return finish(Outcome::kOk);
+        return finish(policy::Outcome::kOk);
       case 410:
         final_ = true;
-        return finish(Outcome::kMoot);
+        return finish(policy::Outcome::kMoot);
       case 429:
         wait_ = parse_wait(view(answer[http::field::retry_after]));
-        return finish(Outcome::kFull);
+        return finish(policy::Outcome::kFull);
       case 503:
-        return finish(view(answer["X-Egress-Full"]) == "1" ? Outcome::kMoot : Outcome::kFull);
+        return finish(view(answer["X-Egress-Full"]) == "1" ? policy::Outcome::kMoot : policy::Outcome::kFull);
       case 504:
-        return finish(Outcome::kMoot);
+        return finish(policy::Outcome::kMoot);
       default:
-        return finish(Outcome::kError);
+        return finish(policy::Outcome::kError);
     }
   }
 
-  void finish(Outcome outcome) {
+  void finish(policy::Outcome outcome) {
     over_ = true;
     timer_.cancel();
     const auto self = shared_from_this();
@@ -474,25 +474,27 @@
     }
     // After silence the host's other idle connections are suspect: a call lost on one may have run, one that
     // finds no new connection has not.
-    if (outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) {
+    if (outcome == policy::Outcome::kTimeout || outcome == policy::Outcome::kReset ||
+        outcome == policy::Outcome::kConnectFailed) {
       owner_->close_idle(endpoint_);
     }
     if (probe_) {
-      return owner_->probed_({endpoint_, outcome == Outcome::kOk, steady_now() - begun_, std::move(report_)});
+      return owner_->probed_(
+          {endpoint_, outcome == policy::Outcome::kOk, steady_now() - begun_, std::move(report_)});
     }
     for (Part& part : parts_) {
       if (!part.over) end(part, part.outcome.value_or(outcome));
     }
   }
 
-  void end(Part& part, Outcome outcome) {
+  void end(Part& part, policy::Outcome outcome) {
     part.over = true;
-    AttemptEnded out;
+    policy::AttemptEnded out;
     out.id = part.call.id;
     out.attempt = part.call.attempt;
     out.endpoint = endpoint_;
     out.outcome = outcome;
-    out.final = part.outcome ? outcome == Outcome::kOk || part.gone : final_;
+    out.final = part.outcome ? outcome == policy::Outcome::kOk || part.gone : final_;
     out.took = steady_now() - begun_;
     out.wait = wait_;
     out.report = report_;
@@ -645,4 +647,4 @@
   });
 }
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -16,7 +16,7 @@
 #include "relay/directory.h"
 #include "relay/message.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 
 struct Call {       // one message's part in a call
   uint64_t id = 0;  // the module's
@@ -44,8 +44,8 @@
   };
   // Asked right before a call's first byte, for each message: one that may no longer start ends as kMoot.
   using MayStart = std::function<bool(const Call&)>;
-  using Ended = std::function<void(const AttemptEnded&, bool began)>;  // began: MayStart allowed it
-  using Probed = std::function<void(const ProbeEnded&)>;
+  using Ended = std::function<void(const policy::AttemptEnded&, bool began)>;  // began: MayStart allowed it
+  using Probed = std::function<void(const policy::ProbeEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
            MayStart may_start, Ended ended, Probed probed);
@@ -99,4 +99,4 @@
   std::map<std::tuple<bool, uint64_t, int>, std::shared_ptr<Exchange>> exchanges_;  // by their first message
 };
 
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -8,7 +8,7 @@
 
 #include "sim/wire.h"
 
-namespace firspool::wire {
+namespace turntally::sim {
 namespace {
 
 constexpr size_t kChunk = 1 << 20;  // read in pieces, so that a false length allocates nothing by itself
@@ -32,7 +32,7 @@
  public:
   std::string handle(Time now, std::vector<InstanceEvent> events) {
     Encoder reply;
-    std::map<int, std::vector<Event>> pending;  // in the order of the instances' numbers
+    std::map<int, std::vector<policy::Event>> pending;  // in the order of the instances' numbers
     for (InstanceEvent& item : events) {
       if (std::holds_alternative<Kill>(item.event)) {
         policies_.erase(item.instance);
@@ -41,18 +41,20 @@
         pending.erase(item.instance);
         guarded(item.instance, reply, [&] {
           policies_.erase(item.instance);
-          policies_.emplace(item.instance, Policy(parse_settings(start->facts), start->seed));
+          policies_.emplace(item.instance, policy::Policy(policy::parse_settings(start->facts), start->seed));
         });
         pending[item.instance];
       } else {
-        pending[item.instance].push_back(std::move(std::get<Event>(item.event)));
+        pending[item.instance].push_back(std::move(std::get<policy::Event>(item.event)));
       }
     }
-    for (const auto& [instance, list] : pending) {
+    for (const auto& entry : pending) {
+      const auto instance = entry.first;
+      const std::vector<policy::Event>& instance_events = entry.second;
       const auto policy = policies_.find(instance);
       if (policy == policies_.end()) continue;
-      std::vector<Action> actions;
-      guarded(instance, reply, [&] { policy->second.step(now, list, actions); });
+      std::vector<policy::Action> actions;
+      guarded(instance, reply, [&] { policy->second.step(now, instance_events, actions); });
       reply.actions(instance, actions);
     }
     return reply.frame();
@@ -68,7 +70,7 @@
     }
   }
 
-  std::map<int, Policy> policies_;
+  std::map<int, policy::Policy> policies_;
 };
 
 int serve() {
@@ -91,13 +93,13 @@
 }
 
 }  // namespace
-}  // namespace firspool::wire
+}  // namespace turntally::sim
 
 int main() {
   try {
-    return firspool::wire::serve();
+    return turntally::sim::serve();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "firspool_simhost: %s\n", error.what());
+    std::fprintf(stderr, "turntally-simhost: %s\n", error.what());
     return 2;
   }
 }
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -4,7 +4,7 @@
 #include <bit>
 #include <cmath>
 
-namespace firspool::wire {
+namespace turntally::sim {
 namespace {
 
 constexpr size_t kMemberBytes = 24;
@@ -71,11 +71,13 @@
   size_t at_ = 0;
 };
 
-Member read_member(Reader& in) {
-  Member out;
+policy::Member read_member(Reader& in) {
+  policy::Member out;
   const uint8_t state = in.u8("readiness");
   if (state > 2) in.fail("unknown readiness");
-  out.listing = state == 1 ? Listing::kReady : state == 2 ? Listing::kDraining : Listing::kGone;
+  out.listing = state == 1   ? policy::Listing::kReady
+                : state == 2 ? policy::Listing::kDraining
+                             : policy::Listing::kGone;
   out.zone = in.u8("area");
   out.weight = in.f32("power_hint");
   if (!std::isfinite(out.weight)) out.weight = 0;
@@ -86,8 +88,8 @@
   return out;
 }
 
-Arrival read_arrival(Reader& in) {
-  Arrival out;
+policy::Arrival read_arrival(Reader& in) {
+  policy::Arrival out;
   out.id = in.u64("op_id");
   out.message_class = in.u8("category");
   out.tenant = in.u16("customer");
@@ -101,40 +103,41 @@
   return out;
 }
 
-Outcome to_outcome(Reader& in) {
-  constexpr Outcome kByCode[] = {
-      Outcome::kError,         Outcome::kOk,    Outcome::kFull,      Outcome::kTimeout,
-      Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kMoot};
+policy::Outcome to_outcome(Reader& in) {
+  constexpr policy::Outcome kByCode[] = {policy::Outcome::kError,         policy::Outcome::kOk,
+                                         policy::Outcome::kFull,          policy::Outcome::kTimeout,
+                                         policy::Outcome::kConnectFailed, policy::Outcome::kReset,
+                                         policy::Outcome::kCancelled,     policy::Outcome::kMoot};
   const uint8_t code = in.u8("state_code");
   if (code >= std::size(kByCode)) in.fail("unknown state_code");
   return kByCode[code];
 }
 
-AttemptEnded read_outcome(Reader& in) {
-  AttemptEnded out;
+policy::AttemptEnded read_outcome(Reader& in) {
+  policy::AttemptEnded out;
   out.id = in.u64("op_id");
   out.endpoint = in.endpoint();
   out.took = in.time("took_s");
   out.outcome = to_outcome(in);
   out.final = in.u8("final") != 0;
   const uint32_t note = in.u32("note");
-  if (out.outcome == Outcome::kFull) out.wait = Time{note} * 1000;
+  if (out.outcome == policy::Outcome::kFull) out.wait = Time{note} * 1000;
   out.attempt = in.u8("hop");
   out.report = in.report();
   return out;
 }
 
-ProbeEnded read_probe(Reader& in) {
-  ProbeEnded out;
+policy::ProbeEnded read_probe(Reader& in) {
+  policy::ProbeEnded out;
   out.endpoint = in.endpoint();
-  out.ok = to_outcome(in) == Outcome::kOk;
+  out.ok = to_outcome(in) == policy::Outcome::kOk;
   out.took = in.time("took_s");
   out.report = in.report();
   return out;
 }
 
-PeerNote read_note(Reader& in) {
-  PeerNote out;
+policy::PeerNote read_note(Reader& in) {
+  policy::PeerNote out;
   out.from = in.u16("by");
   const uint16_t count = in.u16("octets");
   out.bytes = in.raw(count, "octets");
@@ -167,50 +170,50 @@
 struct ActionWriter {
   std::string& out;
 
-  void operator()(const Send& a) const {
+  void operator()(const policy::Send& a) const {
     put<uint8_t>(out, 7);
     put(out, a.id);
     put_endpoint(out, a.endpoint);
     put_time(out, a.timeout);
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const policy::Refuse& a) const {
     put<uint8_t>(out, 2);
     put(out, a.id);
     put_time(out, a.retry_after);
   }
-  void operator()(const Fail& a) const {
+  void operator()(const policy::Fail& a) const {
     put<uint8_t>(out, 12);
     put(out, a.id);
   }
-  void operator()(const Cancel& a) const {
+  void operator()(const policy::Cancel& a) const {
     put<uint8_t>(out, 5);
     put(out, a.id);
     put(out, static_cast<uint8_t>(a.attempt));
   }
-  void operator()(const Probe& a) const {
+  void operator()(const policy::Probe& a) const {
     put<uint8_t>(out, 13);
     put_endpoint(out, a.endpoint);
   }
-  void operator()(const CloseIdle& a) const {
+  void operator()(const policy::CloseIdle& a) const {
     put<uint8_t>(out, 1);
     put_endpoint(out, a.endpoint);
   }
-  void operator()(const SetTimer& a) const {
+  void operator()(const policy::SetTimer& a) const {
     put<uint8_t>(out, 3);
     put(out, a.token);
     put_time(out, a.at);
   }
-  void operator()(const WatchList&) const {
+  void operator()(const policy::WatchList&) const {
     put<uint8_t>(out, 8);
     put<uint8_t>(out, 1);
   }
-  void operator()(const TellPeers& a) const {
+  void operator()(const policy::TellPeers& a) const {
     put<uint8_t>(out, 11);
     put<uint16_t>(out, 0xffff);
     put_text(out, a.bytes);
   }
-  void operator()(const Remember&) const {}
-  void operator()(const Log& a) const {
+  void operator()(const policy::Remember&) const {}
+  void operator()(const policy::Log& a) const {
     put<uint8_t>(out, 10);
     put_text(out, a.text);
   }
@@ -232,7 +235,7 @@
   Reader in(body, kHeaderBytes);
   std::vector<InstanceEvent> out;
   int instance = -1;
-  const auto add = [&](std::variant<Event, PowerOn, Kill> event) {
+  const auto add = [&](std::variant<policy::Event, PowerOn, Kill> event) {
     if (instance < 0) in.fail("event before switch_to");
     out.push_back({instance, std::move(event)});
   };
@@ -252,40 +255,40 @@
         const uint32_t ref = in.u32("ref");
         const uint8_t form = in.u8("form");
         in.u32("gen");
-        MembersChanged event;
+        policy::MembersChanged event;
         if (form == 3) {
-          event.form = MembersChanged::Form::kFailed;
+          event.form = policy::MembersChanged::Form::kFailed;
         } else if (form == 0 || form == 2 || form == 4) {
-          event.form = form == 0 ? MembersChanged::Form::kDelta : MembersChanged::Form::kFull;
+          event.form = form == 0 ? policy::MembersChanged::Form::kDelta : policy::MembersChanged::Form::kFull;
           const auto list = lists_.find(ref);
           if (list == lists_.end()) in.fail("view of an undefined list");
           event.members = list->second;
         } else {
           in.fail("unknown form");
         }
-        add(Event(std::move(event)));
+        add(policy::Event(std::move(event)));
         break;
       }
       case 3:
-        add(Event(read_arrival(in)));
+        add(policy::Event(read_arrival(in)));
         break;
       case 4:  // the first part of a streamed answer: outside this service type
         in.raw(23, "first");
         break;
       case 5:
-        add(Event(read_outcome(in)));
+        add(policy::Event(read_outcome(in)));
         break;
       case 6:
-        add(Event(Withdrawn{in.u64("op_id")}));
+        add(policy::Event(policy::Withdrawn{in.u64("op_id")}));
         break;
       case 7:
-        add(Event(TimerFired{in.u64("mark")}));
+        add(policy::Event(policy::TimerFired{in.u64("mark")}));
         break;
       case 8:
-        add(Event(read_probe(in)));
+        add(policy::Event(read_probe(in)));
         break;
       case 9:
-        add(Event(read_note(in)));
+        add(policy::Event(read_note(in)));
         break;
       case 10:
         add(Kill{});
@@ -295,7 +298,7 @@
         const uint32_t count = in.u32("nodes_list");
         if (ref >= kLists) in.fail("list number is out of range");
         if (count > in.left() / kMemberBytes) in.fail("nodes_list is cut short");
-        auto list = std::make_shared<std::vector<Member>>();
+        auto list = std::make_shared<std::vector<policy::Member>>();
         list->reserve(count);
         for (uint32_t k = 0; k < count; ++k) list->push_back(read_member(in));
         lists_[ref] = std::move(list);
@@ -318,12 +321,14 @@
   ++records_;
 }
 
-void Encoder::actions(int instance, std::span<const Action> actions) {
-  const auto kept = [](const Action& action) { return std::holds_alternative<Remember>(action); };
+void Encoder::actions(int instance, std::span<const policy::Action> actions) {
+  const auto kept = [](const policy::Action& action) {
+    return std::holds_alternative<policy::Remember>(action);
+  };
   if (std::all_of(actions.begin(), actions.end(), kept)) return;
   speaking(instance);
-  for (const Action& action : actions) {
-    if (std::holds_alternative<Remember>(action)) continue;  // nothing outlasts a simulated relay
+  for (const policy::Action& action : actions) {
+    if (std::holds_alternative<policy::Remember>(action)) continue;  // nothing outlasts a simulated relay
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
@@ -343,4 +348,4 @@
   return out + body_;
 }
 
-}  // namespace firspool::wire
+}  // namespace turntally::sim
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -13,7 +13,10 @@
 
 #include "turntally/policy.h"
 
-namespace firspool::wire {
+namespace turntally::sim {
+
+using policy::Endpoint;
+using policy::Time;
 
 // A frame that cannot be read; the text says what and at which byte.
 class WireError : public std::runtime_error {
@@ -30,7 +33,7 @@
 
 struct InstanceEvent {
   int instance = 0;
-  std::variant<Event, PowerOn, Kill> event;
+  std::variant<policy::Event, PowerOn, Kill> event;
 };
 
 struct Header {
@@ -49,13 +52,13 @@
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
 
  private:
-  std::map<uint32_t, std::shared_ptr<const std::vector<Member>>> lists_;
+  std::map<uint32_t, std::shared_ptr<const std::vector<policy::Member>>> lists_;
 };
 
 // Builds one reply.
 class Encoder {
  public:
-  void actions(int instance, std::span<const Action> actions);
+  void actions(int instance, std::span<const policy::Action> actions);
   void panic(int instance, std::string_view text);
   std::string frame() const;
 
@@ -66,4 +69,4 @@
   uint32_t records_ = 0;
 };
 
-}  // namespace firspool::wire
+}  // namespace turntally::sim
--- a/tests/cli/errors_test.cpp
+++ b/tests/cli/errors_test.cpp
@@ -26,7 +26,7 @@
 #include "relay/errors.h"
 #include "relay/fence.h"
 
-namespace firspool {
+namespace turntally {
 namespace {
 
 namespace fs = std::filesystem;
@@ -278,4 +278,4 @@
 }
 
 }  // namespace
-}  // namespace firspool
+}  // namespace turntally
--- a/tests/cli/transcript_test.cpp
+++ b/tests/cli/transcript_test.cpp
@@ -17,7 +17,7 @@
 #include "net/lines.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -459,7 +459,7 @@
   }
   const auto relay = [&](const std::string& what, const std::map<std::string, std::string>& environment) {
     t.said("operator", "relay", what);
-    const auto [status, out] = Child({UMBERHOIST}, folder.path(), environment).wait();
+    const auto [status, out] = Child({TURNTALLY_RELAY}, folder.path(), environment).wait();
     t.said("relay", "operator", "exit status " + std::to_string(status), out);
   };
   std::map<std::string, std::string> environment = {{"PROXY_CONFIG", ""}, {"PROXY_STATE", folder.path()}};
@@ -585,4 +585,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -7,9 +7,9 @@
 #include "turntally/policy.h"
 
 int main() {
-  firspool::Settings settings;
+  turntally::policy::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].effect = firspool::Effect::kSafe;
+  settings.classes[0].effect = turntally::policy::Effect::kSafe;
   settings.classes[0].target = 1'000'000;
   settings.classes[0].give_up = 4'000'000;
   settings.kinds.resize(1);
@@ -17,20 +17,21 @@
   settings.max_open = 100;
   settings.max_attempts = 3;
 
-  firspool::Policy policy(settings, /*seed=*/1);
-  std::vector<firspool::Event> events;
-  firspool::MembersChanged list;
-  list.members = std::make_shared<std::vector<firspool::Member>>(1);  // one endpoint, of destination 0
+  turntally::policy::Policy policy(settings, /*seed=*/1);
+  std::vector<turntally::policy::Event> events;
+  turntally::policy::MembersChanged list;
+  list.members =
+      std::make_shared<std::vector<turntally::policy::Member>>(1);  // one endpoint, of destination 0
   events.push_back(list);
-  firspool::Arrival message;
+  turntally::policy::Arrival message;
   message.id = 7;
   message.due = 4'000'000;
   events.push_back(message);
 
-  std::vector<firspool::Action> actions;
+  std::vector<turntally::policy::Action> actions;
   policy.step(/*now=*/0, events, actions);
-  for (const firspool::Action& action : actions) {
-    if (const auto* send = std::get_if<firspool::Send>(&action)) {
+  for (const turntally::policy::Action& action : actions) {
+    if (const auto* send = std::get_if<turntally::policy::Send>(&action)) {
       std::printf("send message %llu\n", static_cast<unsigned long long>(send->id));
       return 0;  // a relay makes the call here, and passes its AttemptEnded to a later step
     }
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -22,7 +22,7 @@
 #include "net/toml.h"
 #include "registry/lease_table.h"
 
-namespace firspool::controller {
+namespace turntally::controller {
 namespace {
 
 namespace fs = std::filesystem;
@@ -668,4 +668,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::controller
+}  // namespace turntally::controller
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -12,7 +12,7 @@
 #include "lab/process.h"
 #include "lab/receiver.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 namespace fs = std::filesystem;
@@ -287,7 +287,7 @@
       : scenario(parse_scenario("test", kPlain + faults)) {
     scenario.seconds = seconds;
     plan = draw_plan(scenario, seed);
-    played = play(scenario, plan, {UMBERHOIST, folder.path, "debug", {}, TURNTALLY});
+    played = play(scenario, plan, {TURNTALLY_RELAY, folder.path, "debug", {}, TURNTALLY});
     verdicts = check(played.history, rules_of(scenario, plan));
     said = summary(played.history, verdicts);
   }
@@ -458,4 +458,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/tests/lab/lease_history_test.cpp
+++ b/tests/lab/lease_history_test.cpp
@@ -8,7 +8,7 @@
 #include "lab/fenced_resource.h"
 #include "lab/link.h"
 
-namespace firspool::lab {
+namespace turntally::lab {
 namespace {
 
 using Sort = LeaseRecord::Sort;
@@ -191,4 +191,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::lab
+}  // namespace turntally::lab
--- a/tests/lab/lease_scenario_test.cpp
+++ b/tests/lab/lease_scenario_test.cpp
@@ -9,7 +9,7 @@
 
 #include "lab/report.h"
 
-namespace firspool {
+namespace turntally {
 namespace {
 
 namespace fs = std::filesystem;
@@ -123,4 +123,4 @@
 }
 
 }  // namespace
-}  // namespace firspool
+}  // namespace turntally
--- a/tests/lab/lease_search.cpp
+++ b/tests/lab/lease_search.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace firspool;
+using namespace turntally;
 
 struct Found {
   size_t seeds = 0;
--- a/tests/lab/lease_simulation_test.cpp
+++ b/tests/lab/lease_simulation_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <thread>
 
-namespace firspool::lease_world {
+namespace turntally::lease_world {
 namespace {
 
 using Kind = LeaseEvent::Kind;
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::lease_world
+}  // namespace turntally::lease_world
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -21,7 +21,7 @@
 #include "registry/replica.h"
 #include "registry/service.h"
 
-namespace firspool {
+namespace turntally {
 namespace {
 
 namespace fs = std::filesystem;
@@ -573,4 +573,4 @@
 }
 
 }  // namespace
-}  // namespace firspool
+}  // namespace turntally
--- a/tests/lease/lease_client_test.cpp
+++ b/tests/lease/lease_client_test.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-namespace firspool::lease {
+namespace turntally::lease {
 namespace {
 
 using nlohmann::json;
@@ -189,4 +189,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/tests/lease/lease_state_test.cpp
+++ b/tests/lease/lease_state_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <limits>
 
-namespace firspool::lease {
+namespace turntally::lease {
 namespace {
 
 constexpr Time kMs = 1000;
@@ -285,4 +285,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::lease
+}  // namespace turntally::lease
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -8,7 +8,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 using std::chrono::milliseconds;
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -5,7 +5,7 @@
 #include "net/json_splitter.h"
 #include "net/log.h"
 
-namespace firspool::net {
+namespace turntally::net {
 namespace {
 
 std::vector<std::string> texts(const std::string& bytes, size_t piece) {
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::net
+}  // namespace turntally::net
--- a/tests/policy/checked_policy.h
+++ b/tests/policy/checked_policy.h
@@ -10,7 +10,7 @@
 #include "tests/policy/rules_checker.h"
 #include "turntally/policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 
 constexpr Time kSecond = 1'000'000;
 
@@ -123,4 +123,4 @@
   return out;
 }
 
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/cold_budget_test.cpp
+++ b/tests/policy/cold_budget_test.cpp
@@ -12,7 +12,7 @@
 
 #include "tests/policy/checked_policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 namespace {
 
 constexpr double kStart = 0.29;  // share of the capacity that the destination returns with
@@ -341,4 +341,4 @@
                          [](const auto& fleet) { return std::to_string(fleet.param.relays); });
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/early_test.cpp
+++ b/tests/policy/early_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/policy/checked_policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 namespace {
 
 struct Kept {
@@ -81,4 +81,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, Early, ::testing::Range<uint64_t>(1, 11));
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/policy/checked_policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 namespace {
 
 // Sends one message that is served at once; returns the time after it.
@@ -1244,4 +1244,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -6,7 +6,7 @@
 
 #include "tests/policy/checked_policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 namespace {
 
 Settings random_settings(uint64_t seed) {
@@ -200,4 +200,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/rules_checker.cpp
+++ b/tests/policy/rules_checker.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 
 void RulesChecker::fault(uint64_t id, const std::string& what) {
   faults_.push_back("message " + std::to_string(id) + ": " + what);
@@ -147,4 +147,4 @@
   return std::count_if(held_.begin(), held_.end(), [](const auto& item) { return !item.second.ended; });
 }
 
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/rules_checker.h
+++ b/tests/policy/rules_checker.h
@@ -9,7 +9,7 @@
 
 #include "turntally/policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 
 class RulesChecker {
  public:
@@ -59,4 +59,4 @@
   std::vector<std::string> faults_;
 };
 
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -5,7 +5,7 @@
 
 #include "turntally/policy.h"
 
-namespace firspool {
+namespace turntally::policy {
 namespace {
 
 const char kFacts[] =
@@ -111,4 +111,4 @@
 TEST(Settings, UnknownKeysAreSkipped) { EXPECT_EQ(error_of(std::string(kFacts) + "x.y=1\nno_equals\n"), ""); }
 
 }  // namespace
-}  // namespace firspool
+}  // namespace turntally::policy
--- a/tests/policy/window_test.cpp
+++ b/tests/policy/window_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/policy/checked_policy.h"
 
-namespace firspool::testing {
+namespace turntally::policy::testing {
 namespace {
 
 Settings short_window() {
@@ -104,4 +104,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::policy::testing
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -7,7 +7,7 @@
 
 #include "net/random.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 using Call = LeaseCall::Kind;
@@ -238,4 +238,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -6,7 +6,7 @@
 #include "net/random.h"
 #include "registry/state.h"
 
-namespace firspool::registry {
+namespace turntally::registry {
 namespace {
 
 Entry entry(const std::string& id, int cell = 1, Millis ttl_ms = 0) {
@@ -414,4 +414,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::registry
+}  // namespace turntally::registry
--- a/tests/relay/control_crossing_test.cpp
+++ b/tests/relay/control_crossing_test.cpp
@@ -7,7 +7,7 @@
 #include "relay/control.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const std::string kCall = "POST /v1/relay/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
@@ -114,4 +114,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -15,7 +15,7 @@
 #include "relay/upstream.h"
 #include "tests/support/peers.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 using testing::Request;
@@ -48,16 +48,16 @@
   }
 
   // Runs the loop until the call is over.
-  AttemptEnded end() {
+  policy::AttemptEnded end() {
     io_.restart();
     while (ends_.size() < messages_) io_.run_one();
     return ends_.front();
   }
 
   // Runs the loop beside the host's part, which ends first or with the call.
-  AttemptEnded end_beside(const std::function<void()>& part) {
+  policy::AttemptEnded end_beside(const std::function<void()>& part) {
     std::thread host(part);
-    AttemptEnded out = end();
+    policy::AttemptEnded out = end();
     host.join();
     return out;
   }
@@ -72,11 +72,11 @@
   // A connection that rests, for longer than the relay waits for what a host sends behind an answer.
   void rest() {
     begin();
-    const AttemptEnded ok = end_beside([&] {
+    const policy::AttemptEnded ok = end_beside([&] {
       next();
       connection_.send(kOk);
     });
-    ASSERT_EQ(ok.outcome, Outcome::kOk);
+    ASSERT_EQ(ok.outcome, policy::Outcome::kOk);
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 
@@ -107,7 +107,7 @@
 
   boost::asio::io_context io_;
   std::function<void()> before_start_ = [] {};
-  std::vector<AttemptEnded> ends_;
+  std::vector<policy::AttemptEnded> ends_;
   size_t messages_ = 0;
   bool began_ = false;
   uint64_t last_ = 0;
@@ -121,11 +121,11 @@
                        before_start_();
                        return true;
                      },
-                     [this](const AttemptEnded& end, bool began) {
+                     [this](const policy::AttemptEnded& end, bool began) {
                        ends_.push_back(end);
                        began_ = began;
                      },
-                     [](const ProbeEnded&) {}};
+                     [](const policy::ProbeEnded&) {}};
 };
 
 // The system has the whole call as soon as it was written, and the host gets it also where the connection is
@@ -134,14 +134,14 @@
   rest();
   begin("effect");
   upstream_.cancel(last_, 0);
-  EXPECT_EQ(end().outcome, Outcome::kCancelled);
+  EXPECT_EQ(end().outcome, policy::Outcome::kCancelled);
   EXPECT_EQ(testing::read_request(connection_).value_or(Request{}).body, "effect");
 }
 
 TEST_F(CrossingTest, ACallWhoseLastByteWasNotWrittenNeverRan) {
   const std::string large(kMoreThanTheSystemHolds, 'x');
   begin(large, 300'000);
-  EXPECT_EQ(end().outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(end().outcome, policy::Outcome::kConnectFailed);
   connection_ = listener_.accept();
   EXPECT_LT(bytes_until_the_end(connection_), large.size());
   const auto call = [&](const std::function<void()>& part) {
@@ -153,7 +153,7 @@
               connection_.exactly(1000);
               connection_.reset();
             }),
-            Outcome::kConnectFailed);
+            policy::Outcome::kConnectFailed);
   // Its answer was there already.
   EXPECT_EQ(call([&] {
               connection_ = listener_.accept();
@@ -162,12 +162,12 @@
               arrived(connection_);
               connection_.reset();
             }),
-            Outcome::kConnectFailed);
+            policy::Outcome::kConnectFailed);
 }
 
 TEST_F(CrossingTest, AnAnswerAheadOfTheCallsLastByteIsItsAnswer) {
   begin(std::string(kMoreThanTheSystemHolds, 'x'));
-  const AttemptEnded full = end_beside([&] {
+  const policy::AttemptEnded full = end_beside([&] {
     connection_ = listener_.accept();
     connection_.exactly(1000);
     connection_.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
@@ -179,7 +179,7 @@
       left -= got;
     }
   });
-  EXPECT_EQ(full.outcome, Outcome::kFull);
+  EXPECT_EQ(full.outcome, policy::Outcome::kFull);
 }
 
 // The close would take it with it: a message that was delivered would be sent again, or failed.
@@ -195,14 +195,14 @@
     upstream_.cancel(last_, 0);
     return ends_.at(0);
   };
-  EXPECT_EQ(given_up("", false).outcome, Outcome::kCancelled);
+  EXPECT_EQ(given_up("", false).outcome, policy::Outcome::kCancelled);
   const std::string rest = "Connection: close\r\nContent-Length: 0\r\n\r\n";
-  const AttemptEnded served = given_up("HTTP/1.1 200 OK\r\n" + rest, false);
-  EXPECT_EQ(served.outcome, Outcome::kOk);
+  const policy::AttemptEnded served = given_up("HTTP/1.1 200 OK\r\n" + rest, false);
+  EXPECT_EQ(served.outcome, policy::Outcome::kOk);
   EXPECT_TRUE(served.final);
-  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n" + rest, false).outcome, Outcome::kFull);
-  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n", false).outcome, Outcome::kSpoilt);
-  EXPECT_EQ(given_up("", true).outcome, Outcome::kReset);
+  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n" + rest, false).outcome, policy::Outcome::kFull);
+  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n", false).outcome, policy::Outcome::kSpoilt);
+  EXPECT_EQ(given_up("", true).outcome, policy::Outcome::kReset);
 }
 
 // The same for one message whose own time ends while the others' call goes on, and for an answer of any
@@ -222,9 +222,9 @@
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(120));
     end();
-    EXPECT_EQ(ends_[0].outcome, Outcome::kOk) << longer;
+    EXPECT_EQ(ends_[0].outcome, policy::Outcome::kOk) << longer;
     EXPECT_TRUE(ends_[0].final);
-    EXPECT_EQ(ends_[1].outcome, Outcome::kFull);
+    EXPECT_EQ(ends_[1].outcome, policy::Outcome::kFull);
   }
 }
 
@@ -234,7 +234,7 @@
   begin(large, 60'000'000, 2, 300'000);
   while (ends_.empty()) io_.run_one();
   ASSERT_EQ(ends_.size(), 2u);
-  for (const AttemptEnded& end : ends_) EXPECT_EQ(end.outcome, Outcome::kConnectFailed);
+  for (const policy::AttemptEnded& end : ends_) EXPECT_EQ(end.outcome, policy::Outcome::kConnectFailed);
   connection_ = listener_.accept();
   EXPECT_LT(bytes_until_the_end(connection_), 2 * large.size());
 }
@@ -263,7 +263,7 @@
     ::kill(child, SIGCONT);
     ASSERT_EQ(::waitpid(child, &status, 0), child);
     EXPECT_TRUE(WIFEXITED(status));
-    const Outcome due = window ? Outcome::kMoot : Outcome::kConnectFailed;
+    const policy::Outcome due = window ? policy::Outcome::kMoot : policy::Outcome::kConnectFailed;
     EXPECT_EQ(WEXITSTATUS(status), static_cast<int>(due));
     connection_ = listener_.accept();
     EXPECT_EQ(bytes_until_the_end(connection_), 0u) << window;
@@ -274,7 +274,7 @@
 TEST_F(CrossingTest, AConnectionThatComesUpAfterTheCallsTimeBringsNoCall) {
   begin("body", 50'000, 2, 100'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
-  EXPECT_EQ(end().outcome, Outcome::kMoot);
+  EXPECT_EQ(end().outcome, policy::Outcome::kMoot);
   EXPECT_EQ(upstream_.written(), 0u);
   begin("body", 60'000'000, 2, 50'000);  // of one message's time: the other one goes alone
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
@@ -282,8 +282,8 @@
     EXPECT_EQ(next().headers["x-call-id"], "b");
     connection_.send(kOk);
   });
-  EXPECT_EQ(ends_[0].outcome, Outcome::kMoot);
-  EXPECT_EQ(ends_[1].outcome, Outcome::kOk);
+  EXPECT_EQ(ends_[0].outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(ends_[1].outcome, policy::Outcome::kOk);
 }
 
 // An endpoint begins a call with its last byte: one that can no longer go in time is not sent to its end.
@@ -292,14 +292,14 @@
   for (const bool reads_on : {false, true}) {
     start_by_ = steady_now() + 200'000;
     begin(large, 10'000'000);
-    const AttemptEnded out = end_beside([&] {
+    const policy::AttemptEnded out = end_beside([&] {
       connection_ = listener_.accept();
       connection_.exactly(1000);
       if (!reads_on) return;
       std::this_thread::sleep_until(at_time(start_by_));
       EXPECT_LT(bytes_until_the_end(connection_), large.size());
     });
-    EXPECT_EQ(out.outcome, Outcome::kMoot) << reads_on;
+    EXPECT_EQ(out.outcome, policy::Outcome::kMoot) << reads_on;
   }
 }
 
@@ -314,7 +314,7 @@
     begin(body);
     while (upstream_.written() < last_) io_.run_one();
     if (!window) upstream_.cancel(last_, 0);
-    EXPECT_EQ(end().outcome, window ? Outcome::kTimeout : Outcome::kCancelled);
+    EXPECT_EQ(end().outcome, window ? policy::Outcome::kTimeout : policy::Outcome::kCancelled);
     connection_ = listener_.accept();
     EXPECT_LT(bytes_until_the_end(connection_), body.size()) << window;
   }
@@ -329,7 +329,7 @@
   connection_.send(kOk);
   arrived(connection_);
   std::this_thread::sleep_for(std::chrono::milliseconds(150));
-  EXPECT_EQ(end().outcome, Outcome::kOk);
+  EXPECT_EQ(end().outcome, policy::Outcome::kOk);
 }
 
 // Half a line would be taken for the beginning of the answer, and an end would lose the call: both show
@@ -346,11 +346,11 @@
       };
       recording ? void(before_start_ = cross) : cross();
       begin();
-      const AttemptEnded full = end_beside([&] {
+      const policy::AttemptEnded full = end_beside([&] {
         EXPECT_EQ(next().body, "body");
         connection_.send("HTTP/1.1 503 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
       });
-      EXPECT_EQ(full.outcome, Outcome::kFull) << bytes << recording;
+      EXPECT_EQ(full.outcome, policy::Outcome::kFull) << bytes << recording;
       EXPECT_EQ(bytes_until_the_end(old), 0u) << "of the call";
     }
   }
@@ -369,15 +369,17 @@
     for (size_t cut = 0; cut < answer.size(); ++cut) {
       for (const bool resets : {false, true}) {
         begin();
-        const AttemptEnded out = end_beside([&] {
+        const policy::AttemptEnded out = end_beside([&] {
           next();
           connection_.send(answer.substr(0, cut));
           arrived(connection_);
           resets ? connection_.reset() : connection_.close();
         });
-        const Outcome due = cut == 0 ? Outcome::kReset : cut < told ? Outcome::kSpoilt : Outcome::kOk;
+        const policy::Outcome due = cut == 0     ? policy::Outcome::kReset
+                                    : cut < told ? policy::Outcome::kSpoilt
+                                                 : policy::Outcome::kOk;
         ASSERT_EQ(out.outcome, due) << answer.substr(0, cut) << " resets: " << resets;
-        ASSERT_EQ(out.final, due == Outcome::kOk);
+        ASSERT_EQ(out.final, due == policy::Outcome::kOk);
         ASSERT_EQ(out.wait, 0);
       }
     }
@@ -393,8 +395,8 @@
       connection_.send(answer.substr(0, cut));
       connection_.close();
     });
-    for (const AttemptEnded& each : ends_) {
-      ASSERT_EQ(each.outcome, Outcome::kSpoilt) << answer.substr(0, cut);
+    for (const policy::AttemptEnded& each : ends_) {
+      ASSERT_EQ(each.outcome, policy::Outcome::kSpoilt) << answer.substr(0, cut);
       ASSERT_FALSE(each.final);
     }
   }
@@ -405,21 +407,23 @@
   const std::string flood(64 * 1024, 'x');
   const std::string full = "HTTP/1.1 503 x\r\n";
   const std::string chunked = full + "Transfer-Encoding: chunked\r\n\r\n";
-  for (const auto& [bytes, more] : {std::pair<std::string, std::string>{"", "HTTP/1.1 100 x\r\n\r\n"},
-                                    {full + "Content-Length: 60000000\r\n\r\n", flood},
-                                    {"", chunked + "1\r\nx\r\n"},
-                                    {chunked + "1;", flood},  // no line of it ever ends
-                                    {chunked + "1\r\nx\r\n0\r\nX: ", flood}}) {
+  for (const auto& answer : {std::pair<std::string, std::string>{"", "HTTP/1.1 100 x\r\n\r\n"},
+                             {full + "Content-Length: 60000000\r\n\r\n", flood},
+                             {"", chunked + "1\r\nx\r\n"},
+                             {chunked + "1;", flood},  // no line of it ever ends
+                             {chunked + "1\r\nx\r\n0\r\nX: ", flood}}) {
+    const std::string& bytes = answer.first;
+    const std::string& more = answer.second;
     begin();
-    const AttemptEnded out = end_beside([&] {
+    const policy::AttemptEnded out = end_beside([&] {
       next();
       connection_.send(bytes);
       while (connection_.send(more)) continue;  // until the relay closes
     });
-    EXPECT_EQ(out.outcome, Outcome::kSpoilt) << bytes << more.substr(0, 40);
+    EXPECT_EQ(out.outcome, policy::Outcome::kSpoilt) << bytes << more.substr(0, 40);
     EXPECT_LT(out.took, 30'000'000);
   }
 }
 
 }  // namespace
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/tests/relay/customers_test.cpp
+++ b/tests/relay/customers_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 struct Customer {
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/descriptors_test.cpp
+++ b/tests/relay/descriptors_test.cpp
@@ -12,7 +12,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
@@ -234,4 +234,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -19,7 +19,7 @@
 #include "registry/list_follower.h"
 #include "tests/support/peers.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 using std::chrono::milliseconds;
@@ -480,4 +480,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/tests/relay/flood_test.cpp
+++ b/tests/relay/flood_test.cpp
@@ -8,7 +8,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -17,7 +17,7 @@
 #include "tests/support/inside.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 using relay::Handover;
@@ -73,7 +73,7 @@
         {"host", host}, {"since", relay::steady_now()}, {"messages", {{id, attempt}}}};
     EXPECT_TRUE(handover.give(Parcel::kCall, call.dump()));
   }
-  void give_end(const std::string& id, Outcome outcome, Time wait = 0) {
+  void give_end(const std::string& id, policy::Outcome outcome, Time wait = 0) {
     const nlohmann::json ended = {
         {"id", id},     {"outcome", static_cast<int>(outcome)}, {"final", false}, {"took", 1},
         {"wait", wait}, {"report", nlohmann::json::array()},    {"began", true}};
@@ -400,7 +400,7 @@
   before.give_listener();
   started.get();
   const auto told = std::chrono::steady_clock::now();
-  before.give_end("m-1", Outcome::kFull, 1'500'000);
+  before.give_end("m-1", policy::Outcome::kFull, 1'500'000);
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   EXPECT_GE(std::chrono::steady_clock::now() - told, std::chrono::milliseconds(1500));
   s.host.answer("200");
@@ -427,7 +427,7 @@
   before.give_listener();
   started.get();
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
-  before.give_end("m-1", Outcome::kFull);
+  before.give_end("m-1", policy::Outcome::kFull);
   for (const std::string id : {"m-1", "m-2"}) {
     EXPECT_EQ(id_of(s.host.next()), id);
     s.host.answer("200");
@@ -456,7 +456,7 @@
   before.give_call("m-1", 0, "s-gone");
   before.give_listener();
   started.get();
-  before.give_end("m-1", Outcome::kError);
+  before.give_end("m-1", policy::Outcome::kError);
   EXPECT_EQ(id_of(other.next()), "m-1");
   other.answer("200");
 }
@@ -643,4 +643,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/notices_test.cpp
+++ b/tests/relay/notices_test.cpp
@@ -8,7 +8,7 @@
 #include "relay/discovery.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -41,4 +41,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/operators_test.cpp
+++ b/tests/relay/operators_test.cpp
@@ -12,7 +12,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const char* const kPing = "*1\r\n$4\r\nPING\r\n";
@@ -706,4 +706,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -12,7 +12,7 @@
 #include "tests/support/inside.h"
 #include "tests/support/peers.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 TEST(Config, FlattensToLinesOfTheModule) {
@@ -200,7 +200,7 @@
 class JournalTest : public ::testing::Test {
  protected:
   JournalTest() {
-    std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-journal-XXXXXX";
+    std::string pattern = std::filesystem::temp_directory_path() / "turntally-relay-journal-XXXXXX";
     folder_ = ::mkdtemp(pattern.data());
   }
   ~JournalTest() override { std::filesystem::remove_all(folder_); }
@@ -332,4 +332,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -8,7 +8,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const char* const kFacts = "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7";
@@ -784,4 +784,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/recovery_test.cpp
+++ b/tests/relay/recovery_test.cpp
@@ -9,7 +9,7 @@
 #include "tests/support/inside.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 using relay::Journal;
@@ -677,4 +677,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/shutdown_test.cpp
+++ b/tests/relay/shutdown_test.cpp
@@ -18,7 +18,7 @@
 #include "tests/support/inside.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
@@ -286,4 +286,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/system_faults_test.cpp
+++ b/tests/relay/system_faults_test.cpp
@@ -13,7 +13,7 @@
 #include "relay/journal.h"
 #include "tests/support/peers.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -499,4 +499,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/relay/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -6,7 +6,7 @@
 
 #include "tests/support/peers.h"
 
-namespace firspool::relay {
+namespace turntally::relay {
 namespace {
 
 using testing::Host;
@@ -14,14 +14,14 @@
 class UpstreamTest : public ::testing::Test {
  protected:
   // Makes one call and runs the loop to its end; the host's part runs beside it.
-  AttemptEnded call(const std::function<void(Host&)>& part, Time timeout = 20'000'000) {
+  policy::AttemptEnded call(const std::function<void(Host&)>& part, Time timeout = 20'000'000) {
     std::thread host([&] { part(host_); });
-    AttemptEnded out = call_to(host_.port(), timeout);
+    policy::AttemptEnded out = call_to(host_.port(), timeout);
     host.join();
     return out;
   }
 
-  AttemptEnded call_to(uint16_t port, Time timeout) {
+  policy::AttemptEnded call_to(uint16_t port, Time timeout) {
     Call next;
     next.id = ++last_;
     next.endpoint = {1, 0};
@@ -37,8 +37,8 @@
   }
 
   // A bundle of messages a, b, c, of which each outcome is returned by its place.
-  std::vector<AttemptEnded> bundle(const std::function<void(Host&)>& part, std::vector<Time> timeouts,
-                                   const std::vector<bool>& last = {false, false, false}) {
+  std::vector<policy::AttemptEnded> bundle(const std::function<void(Host&)>& part, std::vector<Time> timeouts,
+                                           const std::vector<bool>& last = {false, false, false}) {
     std::thread host([&] { part(host_); });
     std::vector<Call> calls;
     for (size_t i = 0; i < timeouts.size(); ++i) {
@@ -59,8 +59,8 @@
     io_.restart();
     while (ends_.size() < timeouts.size()) io_.run_one();
     host.join();
-    std::vector<AttemptEnded> out(timeouts.size());
-    for (const AttemptEnded& end : ends_) out[end.id] = end;
+    std::vector<policy::AttemptEnded> out(timeouts.size());
+    for (const policy::AttemptEnded& end : ends_) out[end.id] = end;
     return out;
   }
 
@@ -79,8 +79,8 @@
   boost::asio::io_context io_;
   bool may_start_ = true;
   bool began_ = false;
-  std::optional<AttemptEnded> ended_;
-  std::vector<AttemptEnded> ends_;
+  std::optional<policy::AttemptEnded> ended_;
+  std::vector<policy::AttemptEnded> ends_;
   std::atomic<int> ended_count_ = 0;  // for the host's thread
   uint64_t last_ = 0;
   Host host_;
@@ -88,29 +88,29 @@
                      {1'000'000, 10'000'000, 16},
                      {"x0", "x1"},
                      [this](const Call&) { return may_start_; },
-                     [this](const AttemptEnded& end, bool began) {
+                     [this](const policy::AttemptEnded& end, bool began) {
                        ended_ = end;
                        ends_.push_back(end);
                        ++ended_count_;
                        began_ = began;
                      },
-                     [](const ProbeEnded&) {}};
+                     [](const policy::ProbeEnded&) {}};
 };
 
 TEST_F(UpstreamTest, ReadsEachAnswer) {
-  const AttemptEnded ok = call(answering("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
-  EXPECT_EQ(ok.outcome, Outcome::kOk);
+  const policy::AttemptEnded ok = call(answering("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
+  EXPECT_EQ(ok.outcome, policy::Outcome::kOk);
   EXPECT_TRUE(ok.final);
   EXPECT_EQ(ok.report, (std::vector<float>{0.5, 25}));
-  EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
-  const AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
-  EXPECT_EQ(told.outcome, Outcome::kFull);
+  EXPECT_EQ(call(answering("500")).outcome, policy::Outcome::kError);
+  const policy::AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
+  EXPECT_EQ(told.outcome, policy::Outcome::kFull);
   EXPECT_EQ(told.wait, 1'250'000);
-  EXPECT_EQ(call(answering("503")).outcome, Outcome::kFull);
-  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kMoot);
+  EXPECT_EQ(call(answering("503")).outcome, policy::Outcome::kFull);
+  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, policy::Outcome::kMoot);
   EXPECT_FALSE(call(answering("504")).final);
-  const AttemptEnded over = call(answering("410"));
-  EXPECT_EQ(over.outcome, Outcome::kMoot);
+  const policy::AttemptEnded over = call(answering("410"));
+  EXPECT_EQ(over.outcome, policy::Outcome::kMoot);
   EXPECT_TRUE(over.final);
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
 }
@@ -124,11 +124,11 @@
         host.raw(told("c busy\r\na done\r\nb failed\r\n", "Retry-After: 1.5\r\n"));
       },
       {20'000'000, 20'000'000, 20'000'000});
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  EXPECT_EQ(ends[0].outcome, policy::Outcome::kOk);
   EXPECT_TRUE(ends[0].final);
-  EXPECT_EQ(ends[1].outcome, Outcome::kError);
+  EXPECT_EQ(ends[1].outcome, policy::Outcome::kError);
   EXPECT_FALSE(ends[1].final);
-  EXPECT_EQ(ends[2].outcome, Outcome::kFull);
+  EXPECT_EQ(ends[2].outcome, policy::Outcome::kFull);
   EXPECT_EQ(ends[2].wait, 1'500'000);
   const auto over = bundle(
       [](Host& host) {
@@ -136,13 +136,13 @@
         host.raw(told("a void\r\nb used_up\r\n"));
       },
       {20'000'000, 20'000'000});
-  EXPECT_EQ(over[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(over[0].outcome, policy::Outcome::kMoot);
   EXPECT_TRUE(over[0].final);
-  EXPECT_EQ(over[1].outcome, Outcome::kMoot);
+  EXPECT_EQ(over[1].outcome, policy::Outcome::kMoot);
   EXPECT_FALSE(over[1].final);
   EXPECT_EQ(host_.connections(), 1);
-  for (const AttemptEnded& end : bundle(answering("503"), {20'000'000, 20'000'000})) {
-    EXPECT_EQ(end.outcome, Outcome::kFull);
+  for (const policy::AttemptEnded& end : bundle(answering("503"), {20'000'000, 20'000'000})) {
+    EXPECT_EQ(end.outcome, policy::Outcome::kFull);
   }
 }
 
@@ -156,8 +156,8 @@
           host.raw(told(body));
         },
         {20'000'000, 20'000'000});
-    for (const AttemptEnded& end : ends) {
-      EXPECT_EQ(end.outcome, Outcome::kSpoilt) << body;
+    for (const policy::AttemptEnded& end : ends) {
+      EXPECT_EQ(end.outcome, policy::Outcome::kSpoilt) << body;
       EXPECT_FALSE(end.final) << body;
     }
   }
@@ -165,8 +165,8 @@
 
 // No message is sent again while a call with it is out: the first that might be ends the call for all.
 TEST_F(UpstreamTest, ABundleEndsWithTheFirstMessageThatMayBeSentAgain) {
-  for (const AttemptEnded& end : bundle([](Host& host) { host.next(); }, {200'000, 30'000'000})) {
-    EXPECT_EQ(end.outcome, Outcome::kTimeout);
+  for (const policy::AttemptEnded& end : bundle([](Host& host) { host.next(); }, {200'000, 30'000'000})) {
+    EXPECT_EQ(end.outcome, policy::Outcome::kTimeout);
     EXPECT_LT(end.took, 20'000'000);
   }
   const auto ends = bundle(
@@ -176,8 +176,8 @@
         host.raw(told("a done\r\nb done\r\n"));
       },
       {200'000, 30'000'000}, {true, false});
-  EXPECT_EQ(ends[0].outcome, Outcome::kTimeout);
-  EXPECT_EQ(ends[1].outcome, Outcome::kOk);
+  EXPECT_EQ(ends[0].outcome, policy::Outcome::kTimeout);
+  EXPECT_EQ(ends[1].outcome, policy::Outcome::kOk);
 }
 
 TEST_F(UpstreamTest, CancellingOneMessageEndsItsBundle) {
@@ -199,12 +199,12 @@
               host.next();
               host.reset();
             }).outcome,
-            Outcome::kReset);
+            policy::Outcome::kReset);
 }
 
 TEST_F(UpstreamTest, SilenceTimesOutAndEndsTheConnection) {
-  EXPECT_EQ(call([](Host& host) { host.next(); }, 200'000).outcome, Outcome::kTimeout);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call([](Host& host) { host.next(); }, 200'000).outcome, policy::Outcome::kTimeout);
+  EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -212,17 +212,17 @@
   testing::Socket gone = testing::Socket::listen();
   const uint16_t port = gone.port();
   gone.close();
-  EXPECT_EQ(call_to(port, 1'000'000).outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(call_to(port, 1'000'000).outcome, policy::Outcome::kConnectFailed);
   EXPECT_FALSE(began_);
 }
 
 // The host drained, or its destination told another call to wait, while this one's connection came up.
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
-  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kMoot);
+  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, policy::Outcome::kMoot);
   EXPECT_FALSE(began_);
   may_start_ = true;
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);  // the connection stayed, and no byte was written to it before
 }
 
@@ -233,8 +233,8 @@
               host.answer("200");
               host.drop();
             }).outcome,
-            Outcome::kOk);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+            policy::Outcome::kOk);
+  EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -250,12 +250,12 @@
         std::string("HTTP/1.1 504 x\r\nContent-Length: -4\r\n\r\n"), std::string("HTTP/1.1 410 gone"),
         "HTTP/1.1 500 x\r\nX: " + std::string(30'000, 'x'),
         "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\n" + std::string(1000, 'x')}) {
-    const AttemptEnded end = call([&](Host& host) {
+    const policy::AttemptEnded end = call([&](Host& host) {
       host.next();
       host.raw(bytes);
       EXPECT_TRUE(host.left());
     });
-    EXPECT_EQ(end.outcome, Outcome::kSpoilt) << bytes.substr(0, 60);
+    EXPECT_EQ(end.outcome, policy::Outcome::kSpoilt) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
     EXPECT_EQ(host_.connections(), ++made);
   }
@@ -267,12 +267,12 @@
         std::string("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
         "HTTP/1.1 200 OK\r\nX: " + std::string(30'000, 'x'),
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(1000, 'x')}) {
-    const AttemptEnded end = call([&](Host& host) {
+    const policy::AttemptEnded end = call([&](Host& host) {
       host.next();
       host.raw(bytes);
       EXPECT_TRUE(host.left());
     });
-    EXPECT_EQ(end.outcome, Outcome::kOk) << bytes.substr(0, 60);
+    EXPECT_EQ(end.outcome, policy::Outcome::kOk) << bytes.substr(0, 60);
     EXPECT_TRUE(end.final);
   }
 }
@@ -284,26 +284,27 @@
   for (size_t cut = 1; cut <= line.size(); ++cut) {
     for (const bool left :
          {false, true}) {  // the relay leaves a connection that stays open; or the host ends it
-      const AttemptEnded end = call([&](Host& host) {
+      const policy::AttemptEnded end = call([&](Host& host) {
         host.next();
         host.raw(line.substr(0, cut));
         if (!left) return host.drop();
         EXPECT_TRUE(host.left());
       });
-      EXPECT_EQ(end.outcome, cut == line.size() ? Outcome::kOk : Outcome::kSpoilt) << line.substr(0, cut);
+      EXPECT_EQ(end.outcome, cut == line.size() ? policy::Outcome::kOk : policy::Outcome::kSpoilt)
+          << line.substr(0, cut);
       EXPECT_EQ(end.final, cut == line.size());
     }
   }
 }
 
 TEST_F(UpstreamTest, SkipsAnswersAheadOfTheAnswer) {
-  const AttemptEnded end = call([](Host& host) {
+  const policy::AttemptEnded end = call([](Host& host) {
     host.next();
     host.raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
     host.answer("503");
   });
-  EXPECT_EQ(end.outcome, Outcome::kFull);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(end.outcome, policy::Outcome::kFull);
+  EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);
 }
 
@@ -316,10 +317,10 @@
                 host.next();
                 host.raw(bytes);
               }).outcome,
-              Outcome::kOk);
-    EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
+              policy::Outcome::kOk);
+    EXPECT_EQ(call(answering("500")).outcome, policy::Outcome::kError);
     EXPECT_EQ(host_.connections(), before + 2);
-    EXPECT_EQ(call(answering("200", "Connection: close\r\n")).outcome, Outcome::kOk);
+    EXPECT_EQ(call(answering("200", "Connection: close\r\n")).outcome, policy::Outcome::kOk);
   }
 }
 
@@ -334,8 +335,8 @@
 
 TEST_F(UpstreamTest, HeedsNoWaitThatIsNoNumber) {
   for (const std::string wait : {"nan", "-5", "soon", "1.5x", "inf"}) {
-    const AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
-    EXPECT_EQ(end.outcome, Outcome::kFull);
+    const policy::AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
+    EXPECT_EQ(end.outcome, policy::Outcome::kFull);
     EXPECT_EQ(end.wait, 0) << wait;
   }
 }
@@ -347,4 +348,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::relay
+}  // namespace turntally::relay
--- a/tests/sim/wire_test.cpp
+++ b/tests/sim/wire_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace firspool::wire {
+namespace turntally::sim {
 namespace {
 
 std::string bytes(const std::string& hex) {
@@ -37,7 +37,7 @@
 
 template <typename T>
 const T& event(const InstanceEvent& item) {
-  return std::get<T>(std::get<Event>(item.event));
+  return std::get<T>(std::get<policy::Event>(item.event));
 }
 
 TEST(Wire, ReadsAHeader) {
@@ -58,14 +58,14 @@
                              "06 000a0de90e6f2b19");
   ASSERT_EQ(events.size(), 3u);
   EXPECT_EQ(events[0].instance, 3);
-  const auto& arrival = event<Arrival>(events[0]);
+  const auto& arrival = event<policy::Arrival>(events[0]);
   EXPECT_EQ(arrival.id, 0x000ae1aa5d3a91c4u);
   EXPECT_EQ(arrival.key, 0x91f03b7c55d20a64u);
   EXPECT_EQ(arrival.due, 8'652'250);
   EXPECT_EQ(arrival.destination, 57);
-  EXPECT_EQ(event<TimerFired>(events[1]).token, 77u);
+  EXPECT_EQ(event<policy::TimerFired>(events[1]).token, 77u);
   EXPECT_EQ(events[2].instance, 5);
-  EXPECT_EQ(event<Withdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
+  EXPECT_EQ(event<policy::Withdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
 }
 
 TEST(Wire, ReadsAnOutcomeWithAWaitAndAReport) {
@@ -74,10 +74,10 @@
                              "0c 0003"
                              "05 000ae1aa5d3a91c4 0a124a07 1b5b 3f92f1a9fbe76c8b 02 00 000001f4 02"
                              "02 3f000000 40a00000");
-  const auto& ended = event<AttemptEnded>(events.at(0));
+  const auto& ended = event<policy::AttemptEnded>(events.at(0));
   EXPECT_EQ(ended.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
   EXPECT_EQ(ended.took, 18'500);
-  EXPECT_EQ(ended.outcome, Outcome::kFull);
+  EXPECT_EQ(ended.outcome, policy::Outcome::kFull);
   EXPECT_FALSE(ended.final);
   EXPECT_EQ(ended.wait, 500'000);
   EXPECT_EQ(ended.attempt, 2);
@@ -94,12 +94,12 @@
       decoder, 5,
       std::string("0c 0003 0b 00000000 00000001") + kEntryA + view + "0b 00000000 00000001" + kEntryB + view);
   ASSERT_EQ(events.size(), 2u);
-  const Member& first = event<MembersChanged>(events[0]).members->at(0);
+  const policy::Member& first = event<policy::MembersChanged>(events[0]).members->at(0);
   EXPECT_EQ(first.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
-  EXPECT_EQ(first.listing, Listing::kReady);
+  EXPECT_EQ(first.listing, policy::Listing::kReady);
   EXPECT_EQ(first.destination, 57);
-  const Member& second = event<MembersChanged>(events[1]).members->at(0);
-  EXPECT_EQ(second.listing, Listing::kDraining);
+  const policy::Member& second = event<policy::MembersChanged>(events[1]).members->at(0);
+  EXPECT_EQ(second.listing, policy::Listing::kDraining);
   EXPECT_EQ(second.zone, 1);
   EXPECT_EQ(second.kind, 1);
   EXPECT_DOUBLE_EQ(second.weight, 1.5);
@@ -108,7 +108,7 @@
 TEST(Wire, AFailedViewNeedsNoList) {
   Decoder decoder;
   const auto events = decode(decoder, 2, "0c 0003 02 00000007 03 00000000");
-  EXPECT_EQ(event<MembersChanged>(events.at(0)).form, MembersChanged::Form::kFailed);
+  EXPECT_EQ(event<policy::MembersChanged>(events.at(0)).form, policy::MembersChanged::Form::kFailed);
 }
 
 TEST(Wire, ReadsStartKillProbeAndNote) {
@@ -118,18 +118,19 @@
                              "08 0a9011f2 1b84 01 3f56f0068db8bac7 00 09 0002 0004 68692037");
   EXPECT_EQ(std::get<PowerOn>(events.at(0).event).facts, "a=b");
   EXPECT_TRUE(std::holds_alternative<Kill>(events.at(1).event));
-  EXPECT_TRUE(event<ProbeEnded>(events.at(2)).ok);
-  EXPECT_EQ(event<PeerNote>(events.at(3)).bytes, "hi 7");
+  EXPECT_TRUE(event<policy::ProbeEnded>(events.at(2)).ok);
+  EXPECT_EQ(event<policy::PeerNote>(events.at(3)).bytes, "hi 7");
 }
 
 TEST(Wire, WritesActions) {
   Encoder out;
-  const std::vector<Action> actions = {Send{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000},
-                                       SetTimer{77, 8'912'250}};
+  const std::vector<policy::Action> actions = {policy::Send{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000},
+                                               policy::SetTimer{77, 8'912'250}};
   out.actions(3, actions);
   out.actions(4, {});
-  const std::vector<Action> more = {Refuse{5, 300'000}, Fail{6},     Cancel{7, 1}, Probe{{1, 2}},
-                                    CloseIdle{{1, 2}},  WatchList{}, Log{"hi"},    TellPeers{"hi"}};
+  const std::vector<policy::Action> more = {
+      policy::Refuse{5, 300'000}, policy::Fail{6},     policy::Cancel{7, 1}, policy::Probe{{1, 2}},
+      policy::CloseIdle{{1, 2}},  policy::WatchList{}, policy::Log{"hi"},    policy::TellPeers{"hi"}};
   out.actions(5, more);
   EXPECT_EQ(out.frame(), bytes("0000006e 0000000c"
                                "04 0003 07 000ae1aa5d3a91c4 0a124a07 1b5b 3fb47ae147ae147b"
@@ -157,4 +158,4 @@
 }
 
 }  // namespace
-}  // namespace firspool::wire
+}  // namespace turntally::sim
--- a/tests/support/inside.h
+++ b/tests/support/inside.h
@@ -14,7 +14,7 @@
 #include "relay/config.h"
 #include "relay/relay.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 
 struct Inside {
   boost::asio::io_context io;
@@ -38,7 +38,7 @@
 struct Folder {
   std::filesystem::path path;
   Folder() {
-    std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-inside-XXXXXX";
+    std::string pattern = std::filesystem::temp_directory_path() / "turntally-relay-inside-XXXXXX";
     path = ::mkdtemp(pattern.data());
   }
   ~Folder() { std::filesystem::remove_all(path); }
@@ -59,4 +59,4 @@
   rlimit before_{};
 };
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/support/peers.cpp
+++ b/tests/support/peers.cpp
@@ -14,7 +14,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 bool readable(int fd, int ms) {
@@ -271,7 +271,7 @@
 }
 
 Program::Program(nlohmann::json config) {
-  std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-test-XXXXXX";
+  std::string pattern = std::filesystem::temp_directory_path() / "turntally-relay-test-XXXXXX";
   folder_ = ::mkdtemp(pattern.data());
   state_ = folder_ / "state";
   std::filesystem::create_directory(state());
@@ -307,7 +307,7 @@
       ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
       ::setenv("LD_PRELOAD", SYSTEM_FAULTS, 1);
     }
-    ::execl(UMBERHOIST, UMBERHOIST, "--log-level", level_.c_str(), nullptr);
+    ::execl(TURNTALLY_RELAY, TURNTALLY_RELAY, "--log-level", level_.c_str(), nullptr);
     ::_exit(127);
   }
   ::close(pipe[1]);
@@ -320,7 +320,7 @@
   int status = 0;
   ::waitpid(child_, &status, 0);
   child_ = -1;
-  return line.starts_with("umberhoist: ") && WIFEXITED(status) && WEXITSTATUS(status) == 1;
+  return line.starts_with("turntally-relay: ") && WIFEXITED(status) && WEXITSTATUS(status) == 1;
 }
 
 void Program::start(int descriptors) {
@@ -400,4 +400,4 @@
   return out;
 }
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/support/peers.h
+++ b/tests/support/peers.h
@@ -19,7 +19,7 @@
 
 #include "tests/support/system_faults.h"
 
-namespace firspool::testing {
+namespace turntally::testing {
 
 constexpr int kDeadlineMs = 30'000;
 
@@ -172,4 +172,4 @@
 
 std::string put_bytes(const std::string& id, const std::string& facts, const std::string& body = "body");
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/support/system_faults.cpp
+++ b/tests/support/system_faults.cpp
@@ -22,11 +22,11 @@
 
 namespace {
 
-using firspool::testing::SystemFaultKnobs;
+using turntally::testing::SystemFaultKnobs;
 
 SystemFaultKnobs* knobs() {
   static SystemFaultKnobs* const mapped = [] {
-    const char* name = std::getenv(firspool::testing::kFaultsVariable);
+    const char* name = std::getenv(turntally::testing::kFaultsVariable);
     const int file = name == nullptr ? -1 : ::openat(AT_FDCWD, name, O_RDWR | O_CLOEXEC);
     void* at = file < 0
                    ? MAP_FAILED
--- a/tests/support/system_faults.h
+++ b/tests/support/system_faults.h
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <string>
 
-namespace firspool::testing {
+namespace turntally::testing {
 
 struct SystemFaultKnobs {
   std::atomic<int64_t> wall_clock_step_us;  // added to the wall clock; the monotonic clock is untouched
@@ -42,4 +42,4 @@
 
 inline constexpr char kFaultsVariable[] = "SYSTEM_FAULTS_FILE";
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/support/transcript.cpp
+++ b/tests/support/transcript.cpp
@@ -15,7 +15,7 @@
 #include <optional>
 #include <sstream>
 
-namespace firspool::testing {
+namespace turntally::testing {
 namespace {
 
 constexpr size_t kMostLine = 2000;  // nobody reads further
@@ -217,4 +217,4 @@
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status), out};
 }
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
--- a/tests/support/transcript.h
+++ b/tests/support/transcript.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-namespace firspool::testing {
+namespace turntally::testing {
 
 class Transcript {
  public:
@@ -71,4 +71,4 @@
   int output_ = -1;
 };
 
-}  // namespace firspool::testing
+}  // namespace turntally::testing
