--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -99,8 +99,8 @@
 Outcome run_once(const RunOptions& options, const Scenario& scenario, const std::string& folder,
                  const std::string& relay) {
   const Plan plan = draw_plan(scenario, options.seed);
-  Played played = play(scenario, plan,
-                       {relay, folder, options.level, print_progress, fs::read_symlink("/proc/self/exe")});
+  ScenarioResult played = run_scenario(
+      scenario, plan, {relay, folder, options.level, print_progress, fs::read_symlink("/proc/self/exe")});
   Outcome out;
   out.verdicts = check(played.history, rules_of(scenario, plan));
   out.figures = figures_of(scenario, played);
@@ -142,8 +142,8 @@
 int run_registry(const RunOptions& options) {
   const RegistryScenario scenario = read_registry_scenario(options.file);
   return run_processes(options, scenario.name, [&](const std::string& turntally, const std::string& folder) {
-    const RegistryPlayed out =
-        play_registry(scenario, {turntally, folder, options.seed, options.level, print_progress});
+    const RegistryScenarioResult out =
+        run_registry_scenario(scenario, {turntally, folder, options.seed, options.level, print_progress});
     char text[400];
     int used = std::snprintf(text, sizeof(text),
                              "%zu faults; %zu writes (%zu refused, %zu unknown), p50 %.1f ms, p99 %.1f ms, "
@@ -163,8 +163,8 @@
 int run_leases(const RunOptions& options) {
   const LeaseScenario scenario = read_lease_scenario(options.file);
   return run_processes(options, scenario.name, [&](const std::string& turntally, const std::string& folder) {
-    const LeasePlayed out =
-        play_leases(scenario, {turntally, folder, options.seed, options.level, print_progress});
+    const LeaseScenarioResult out =
+        run_lease_scenario(scenario, {turntally, folder, options.seed, options.level, print_progress});
     const nlohmann::ordered_json figures = out.to_json();
     const auto number = [&](const char* key) { return figures[key].get<double>(); };
     char text[500];
--- a/controller/config.h
+++ b/controller/config.h
@@ -40,7 +40,7 @@
   std::optional<net::tcp::endpoint> http;  // for /status and /metrics
   double clock_rate = 1;                   // for tests of drift
   std::vector<net::tcp::endpoint> registry;
-  lease::HolderSettings lease;  // but for the names
+  lease::LeaseSettings lease;  // but for the names
   std::vector<TaskConfig> tasks;
 };
 
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -17,8 +17,8 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-lease::ShellSettings shell_settings(const Config& config, const TaskConfig& task) {
-  lease::ShellSettings out;
+lease::LeaseClientSettings shell_settings(const Config& config, const TaskConfig& task) {
+  lease::LeaseClientSettings out;
   out.holder = config.lease;
   out.holder.name = task.name;
   out.holder.holder = config.holder;
@@ -86,7 +86,7 @@
       if (const auto closed = std::exchange(closed_, nullptr)) closed();
     });
   } else {
-    shell_.give_back();
+    shell_.release();
   }
 }
 
@@ -142,21 +142,22 @@
 }
 
 void Task::keep(const json& record, std::function<void()> done) {
-  if (shell_.token() != token_ || !shell_.held()) return;
-  shell_.record(record.dump(), [this, out = out(), done = std::move(done)](lease::Shell::Recorded how) {
-    if (!out->stands()) return;
-    switch (how) {
-      case lease::Shell::Recorded::kDone:
-        return done();
-      case lease::Shell::Recorded::kFenced:
-        ++figures_.fenced;
-        failed(Fenced("the registry"));
-        return give_up();
-      case lease::Shell::Recorded::kFailed:
-        failed(NoAnswer("the registry, told what is done,"));
-        return done();  // the next one says it too; a successor repeats what was not kept
-    }
-  });
+  if (shell_.token() != token_ || !shell_.is_held()) return;
+  shell_.save_checkpoint(
+      record.dump(), [this, out = out(), done = std::move(done)](lease::LeaseClient::CheckpointResult how) {
+        if (!out->stands()) return;
+        switch (how) {
+          case lease::LeaseClient::CheckpointResult::kDone:
+            return done();
+          case lease::LeaseClient::CheckpointResult::kFenced:
+            ++figures_.fenced;
+            failed(Fenced("the registry"));
+            return give_up();
+          case lease::LeaseClient::CheckpointResult::kFailed:
+            failed(NoAnswer("the registry, told what is done,"));
+            return done();  // the next one says it too; a successor repeats what was not kept
+        }
+      });
 }
 
 bool Task::went_well(const std::string& who, const std::optional<net::HttpReply>& reply) {
@@ -201,7 +202,7 @@
               {"token", token()},
               {"left_ms", shell_.left().count()},
               {"place", shell_.place()},
-              {"lease_trouble", shell_.trouble()},
+              {"lease_trouble", shell_.last_error()},
               {"wanted_back", winds_down_},
               {"out", outs_},
               {"acts", figures_.acts},
--- a/controller/task.h
+++ b/controller/task.h
@@ -37,7 +37,7 @@
   };
   const Figures& figures() const { return figures_; }
   lease::Token token() const { return token_; }
-  bool held() const { return shell_.held(); }
+  bool held() const { return shell_.is_held(); }
 
  protected:
   Task(boost::asio::io_context& io, const Config& config, TaskConfig task);
@@ -48,7 +48,7 @@
   virtual void add_status(nlohmann::json& to) const = 0;
 
   // Right before each act; also no where the lease is wanted back.
-  bool may_act() const { return !winds_down_ && token_ != 0 && shell_.token() == token_ && shell_.held(); }
+  bool may_act() const { return !winds_down_ && token_ != 0 && shell_.token() == token_ && shell_.is_held(); }
   // Whatever is out keeps one of these: the lease goes back only when none is left. Has the grant's number,
   // which nothing of an earlier grant has.
   class Out;
@@ -83,8 +83,8 @@
   Done while_it_stands(Done done);
   void end_grant();
 
-  lease::Calls calls_;
-  lease::Shell shell_;
+  lease::RegistryCaller calls_;
+  lease::LeaseClient shell_;
   lease::Token token_ = 0;  // of the grant that was begun here; 0 where none stands
   uint64_t grant_ = 0;      // its number
   uint64_t grants_ = 0;
--- a/include/turntally/policy.h
+++ b/include/turntally/policy.h
@@ -30,27 +30,32 @@
 
 // ---- Settings: told at the start, and by SettingsChanged ----
 
-enum class Effect { kSafe, kKeyed, kUnsafe };  // what a second run of a message would do
-enum class KeyScope { kAll, kZone, kCell };    // which endpoints of a destination drop repeats
+enum class Idempotency {
+  kIdempotent,
+  kIdempotentWithKey,
+  kNonIdempotent
+};                                                      // what a second run of a message would do
+enum class DeduplicationScope { kAll, kZone, kGroup };  // which endpoints of a destination drop repeats
 
 struct ClassSettings {
   std::string name;
-  Effect effect = Effect::kUnsafe;
-  KeyScope key_scope = KeyScope::kAll;
-  Time key_window =
+  Idempotency idempotency = Idempotency::kNonIdempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
+  Time deduplication_window =
       0;  // keyed: how long a destination remembers a key, from the first send that may have run
-  bool in_order = false;  // messages of one key go one at a time
-  Time target = 0;        // delivered within this time, a message earns its full worth
-  Time give_up = 0;       // how long it may be delivered, from when it was first handed in
-  double worth = 1;
-  double late_worth = 0;  // share of the worth that is left at the end
+  bool in_order = false;       // messages of one key go one at a time
+  Time latency_objective = 0;  // delivered within this time, a message earns its full worth
+  Time max_lifetime = 0;       // how long it may be delivered, from when it was first handed in
+  double priority_weight = 1;
+  double late_weight_share = 0;  // share of the worth that is left at the end
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct KindSettings {
   std::string name;
-  bool apart = false;  // the endpoints of a destination are routes apart, each with its own limit and outages
-  int batch = 1;       // messages that may travel as one call
+  bool independent_endpoints =
+      false;  // the endpoints of a destination are routes apart, each with its own limit and outages
+  int max_batch_size = 1;  // messages that may travel as one call
 };
 
 struct TenantSettings {
@@ -69,43 +74,44 @@
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;
-  int self = 0;
-  int relays = 1;
+  int relay_index = 0;
+  int relay_count = 1;
   int zone = 0;
-  int slots = 1;     // calls out at once
-  int max_open = 1;  // messages held at once, sent or not
+  int max_concurrent_calls = 1;  // calls out at once
+  int max_pending_messages = 1;  // messages held at once, sent or not
   int max_attempts = 1;
-  int streams_per_conn = 1;
-  bool may_probe = false;
-  bool may_tell_peers = false;
-  bool may_cancel = false;
-  bool ask_for_list = false;       // the list comes only to those who watch
-  bool retry_after_heard = false;  // clients are told the wait of a Refuse
-  bool late_by_halves = false;     // worth falls by half with each further target; else evenly to the end
+  int streams_per_connection = 1;
+  bool health_checks_allowed = false;
+  bool gossip_allowed = false;
+  bool cancellation_allowed = false;
+  bool list_needs_watch = false;           // the list comes only to those who watch
+  bool clients_honor_retry_after = false;  // clients are told the wait of a Refuse
+  bool late_weight_halves = false;  // worth falls by half with each further target; else evenly to the end
   Weights weights = Weights::kNone;
-  int report_left = -1;   // index of the share of a limit that is left, in a report; -1: not reported
-  int report_limit = -1;  // index of the limit in calls a second; -1: not reported
-  double over_share_worth = 1;
+  int report_limit_remaining_index =
+      -1;                       // index of the share of a limit that is left, in a report; -1: not reported
+  int report_limit_index = -1;  // index of the limit in calls a second; -1: not reported
+  double over_quota_weight_share = 1;
   Time tick = 0;
-  Time conn_idle = 0;
+  Time connection_idle_timeout = 0;
   Time connect_timeout = 0;
   Time max_retry_after = 0;
   Time answer_slack = 0;
   Time drain_grace = 0;
-  Time ask_every = 0;
-  Time order_pause = 0;
-  Time cold = 0;              // after an outage a destination is warm within this time
-  Time fall_window = 0;       // sent too much for this long while cold, it falls over
-  double fall_multiple = 1;   // too much: more than this many times its capacity at that moment
-  double start_capacity = 1;  // share of its capacity that it returns with
-  double price_cross_zone = 0;
-  double price_handshake = 0;
-  double price_waste = 0;
-  double price_late_fail = 0;
-  double price_probe = 0;
-  double price_refused = 0;
-  double price_peer = 0;
-  std::vector<double> zone_fee;  // for each zone: price of a message taken on by a route apart
+  Time list_poll_interval = 0;
+  Time ordering_pause = 0;
+  Time slow_start_duration = 0;       // after an outage a destination is warm within this time
+  Time overload_window = 0;           // sent too much for this long while cold, it falls over
+  double overload_factor = 1;         // too much: more than this many times its capacity at that moment
+  double initial_capacity_share = 1;  // share of its capacity that it returns with
+  double cost_cross_zone = 0;
+  double cost_handshake = 0;
+  double cost_waste = 0;
+  double cost_late_failure = 0;
+  double cost_health_check = 0;
+  double cost_rejected = 0;
+  double cost_gossip = 0;
+  std::vector<double> zone_costs;  // for each zone: price of a message taken on by a route apart
 };
 
 // Reads settings from path=value lines. Unknown keys are skipped; a needed key that is missing or unreadable
@@ -116,7 +122,7 @@
 
 enum class Listing { kReady, kDraining, kGone };
 
-struct Member {
+struct EndpointInfo {
   Endpoint endpoint;
   Listing listing = Listing::kReady;
   int zone = 0;
@@ -125,46 +131,45 @@
   double weight = 1;
 };
 
-struct MembersChanged {
+struct EndpointListChanged {
   enum class Form { kDelta, kFull, kFailed };
   Form form = Form::kFull;
-  std::shared_ptr<const std::vector<Member>> members;  // may be null when the form is kFailed
+  std::shared_ptr<const std::vector<EndpointInfo>> endpoints;  // may be null when the form is kFailed
 };
 
-struct Arrival {
+struct MessageArrived {
   uint64_t id = 0;
   int message_class = 0;
   int tenant = 0;
-  uint64_t key = 0;           // for classes in order: what the message is about; 0: nothing
-  bool ahead_of_key = false;  // it was taken on before all others of its key that are held
-  Time due = 0;
+  uint64_t ordering_key = 0;    // for classes in order: what the message is about; 0: nothing
+  bool ahead_in_order = false;  // it was taken on before all others of its key that are held
+  Time deadline = 0;
   int destination = 0;
   // Of a message that is resumed after a restart: what became of it before. Attempts are counted on.
   int attempts = 0;
-  int most_attempts =
-      0;              // how many it may have, those that began no call beside them; 0: as the settings say
-  bool ran = false;   // an attempt may have run
-  Time ran_sent = 0;  // when the first such attempt was sent
-  int ran_zone = 0;
+  int max_attempts = 0;  // how many it may have, those that began no call beside them; 0: as the settings say
+  bool may_have_run = false;    // an attempt may have run
+  Time possibly_run_since = 0;  // when the first such attempt was sent
+  int possibly_run_zone = 0;
   // Of one whose newest attempt is still out in the process before: it ends by AttemptEnded like any other.
-  struct Out {
+  struct InFlightCall {
     Endpoint endpoint;  // must have been listed
     Time sent = 0;
     uint64_t call = 0;  // messages with the same number travel together
   };
-  std::optional<Out> out;
+  std::optional<InFlightCall> in_flight;
 };
 
 enum class Outcome {
   kOk,
   kError,
-  kFull,
+  kRejected,
   kTimeout,
   kConnectFailed,
   kReset,
   kCancelled,
-  kMoot,
-  kSpoilt  // an answer that cannot be read: it may have run, and the host is well
+  kNotStarted,
+  kMalformedResponse  // an answer that cannot be read: it may have run, and the host is well
 };
 
 struct AttemptEnded {
@@ -173,20 +178,20 @@
   Endpoint endpoint;
   Outcome outcome = Outcome::kError;
   bool final = false;  // the message is finished
-  Time took = 0;
-  Time wait = 0;  // with kFull: the wait that was told, 0 if none
-  std::vector<float> report;
-  bool began = true;  // whether a byte of it was written: else it is none of the message's attempts
+  Time latency = 0;
+  Time retry_after = 0;  // with kFull: the wait that was told, 0 if none
+  std::vector<float> load_report;
+  bool call_started = true;  // whether a byte of it was written: else it is none of the message's attempts
 };
 
-struct ProbeEnded {
+struct HealthCheckEnded {
   Endpoint endpoint;
   bool ok = false;
-  Time took = 0;
-  std::vector<float> report;
+  Time latency = 0;
+  std::vector<float> load_report;
 };
 
-struct Withdrawn {
+struct MessageWithdrawn {
   uint64_t id = 0;
 };
 
@@ -194,30 +199,30 @@
   uint64_t token = 0;
 };
 
-struct PeerNote {
+struct GossipReceived {
   int from = 0;
   std::string bytes;
 };
 
 // What a fresh module would not know of a destination: it is told by Remember, and given back after a restart
 // by the caller, before any message is. Outages of routes apart are not told.
-struct DestinationMemory {
+struct DestinationState {
   int destination = 0;
-  int tokens = 0;       // of the retry bucket, in its parts
-  Time out_since = 0;   // 0: no outage
-  Time back_since = 0;  // 0: still out
-  double base = 0;      // own served rate before it
-  Time wait_until = 0;  // a told wait's end; 0: none
-  bool operator==(const DestinationMemory&) const = default;
+  int retry_tokens = 0;           // of the retry bucket, in its parts
+  Time outage_since = 0;          // 0: no outage
+  Time recovering_since = 0;      // 0: still out
+  double rate_before_outage = 0;  // own served rate before it
+  Time wait_until = 0;            // a told wait's end; 0: none
+  bool operator==(const DestinationState&) const = default;
 };
 
-struct Closing {  // this process ends soon: a call that may not be over by then is not started
+struct ShutdownScheduled {  // this process ends soon: a call that may not be over by then is not started
   Time at = 0;
 };
 
-struct Suspended {  // an operator takes the endpoint out, or puts it back: it may be cold then
+struct EndpointSuspended {  // an operator takes the endpoint out, or puts it back: it may be cold then
   Endpoint endpoint;
-  bool out = true;
+  bool suspended = true;
 };
 
 // New settings hold from here on; messages that arrived before keep their class and attempts. The list's
@@ -227,19 +232,20 @@
   std::vector<int> zones;  // where each zone of before stands now, -1: nowhere; empty: all as before
 };
 
-using Event = std::variant<MembersChanged, Arrival, AttemptEnded, ProbeEnded, Withdrawn, TimerFired, PeerNote,
-                           Closing, DestinationMemory, SettingsChanged, Suspended>;
+using Event = std::variant<EndpointListChanged, MessageArrived, AttemptEnded, HealthCheckEnded,
+                           MessageWithdrawn, TimerFired, GossipReceived, ShutdownScheduled, DestinationState,
+                           SettingsChanged, EndpointSuspended>;
 
 // ---- Actions ----
 
-struct Send {  // answered by one AttemptEnded, kTimeout at the latest after `timeout`
+struct SendAttempt {  // answered by one AttemptEnded, kTimeout at the latest after `timeout`
   uint64_t id = 0;
   Endpoint endpoint;
   Time timeout = 0;
-  Time start_by = std::numeric_limits<Time>::max();  // no byte of it may be written later
+  Time latest_start = std::numeric_limits<Time>::max();  // no byte of it may be written later
 };
 
-struct Refuse {  // ends the message; a retry by the client is harmless
+struct Reject {  // ends the message; a retry by the client is harmless
   uint64_t id = 0;
   Time retry_after = 0;
 };
@@ -253,11 +259,11 @@
   int attempt = 0;
 };
 
-struct Probe {  // answered by one ProbeEnded
+struct SendHealthCheck {  // answered by one ProbeEnded
   Endpoint endpoint;
 };
 
-struct CloseIdle {
+struct CloseIdleConnections {
   Endpoint endpoint;
 };
 
@@ -266,9 +272,9 @@
   Time at = 0;
 };
 
-struct WatchList {};
+struct OpenListWatch {};
 
-struct TellPeers {
+struct SendGossip {
   std::string bytes;
 };
 
@@ -276,12 +282,12 @@
   std::string text;
 };
 
-struct Remember {  // the newest word on a destination
-  DestinationMemory memory;
+struct PersistDestinationState {  // the newest word on a destination
+  DestinationState state;
 };
 
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SetTimer, WatchList, TellPeers, Log, Remember>;
+using Action = std::variant<SendAttempt, Reject, Fail, Cancel, SendHealthCheck, CloseIdleConnections,
+                            SetTimer, OpenListWatch, SendGossip, Log, PersistDestinationState>;
 
 class Policy {
  public:
@@ -293,7 +299,7 @@
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions);
 
   // Listed endpoints that are out by hand, passed over now, or sent to only to look whether they are back.
-  size_t avoided(Time now) const;
+  size_t ejected_endpoints(Time now) const;
 
  private:
   class Impl;
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -29,7 +29,7 @@
     message_ = message;
     item_ = std::move(item);
     const HandIn& m = item_.message;
-    const World& world = owner_->world_;
+    const SimulatedFleet& world = owner_->world_;
     const auto life_ms = static_cast<int64_t>(std::max(1.0, (m.due - world.now()) * 1000));
     std::string facts = "c=" + world.scenario.classes[static_cast<size_t>(m.message_class)].name;
     if (m.tenant >= 0) facts += ",t=" + world.scenario.tenants[static_cast<size_t>(m.tenant)];
@@ -118,7 +118,7 @@
   std::string answer_;
 };
 
-Clients::Clients(World& world)
+Clients::Clients(SimulatedFleet& world)
     : world_(world),
       random_(world.plan.seed, 99),
       used_(world.plan.relays.size(), false),
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -14,7 +14,7 @@
 
 class Clients {
  public:
-  explicit Clients(World& world);
+  explicit Clients(SimulatedFleet& world);
   ~Clients();
 
   // Whether the front uses a relay. It learns of a death late.
@@ -45,7 +45,7 @@
   void answered(int relay, int message, Try item, const std::string& line);
   void silent(int relay, int message, Try item);
 
-  World& world_;
+  SimulatedFleet& world_;
   net::Random random_;
   std::vector<bool> used_;
   std::vector<std::list<std::shared_ptr<Session>>> idle_;  // by relay, the most recently used last
--- a/lab/discovery_agent.cpp
+++ b/lab/discovery_agent.cpp
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-class Platform::Session : public std::enable_shared_from_this<Session> {
+class DiscoveryAgent::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Platform& owner, tcp::socket socket)
+  Session(DiscoveryAgent& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.world_.io), late_(owner.world_.io) {
     Error ignored;
     peer_ = socket_.remote_endpoint(ignored);
@@ -59,7 +59,7 @@
   void end() {
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
-    Platform& owner = *std::exchange(owner_, nullptr);
+    DiscoveryAgent& owner = *std::exchange(owner_, nullptr);
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
@@ -235,7 +235,7 @@
                              });
   }
 
-  Platform* owner_;
+  DiscoveryAgent* owner_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
   boost::asio::steady_timer late_;
@@ -251,7 +251,7 @@
   http::response<http::string_body> response_;
 };
 
-Platform::Platform(World& world)
+DiscoveryAgent::DiscoveryAgent(SimulatedFleet& world)
     : world_(world),
       acceptor_(world.io, world.discovery_address()),
       entries_(world.places().size()),
@@ -259,11 +259,11 @@
   accept();
 }
 
-Platform::~Platform() {
+DiscoveryAgent::~DiscoveryAgent() {
   for (const auto& session : open_) session->disown();
 }
 
-void Platform::accept() {
+void DiscoveryAgent::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
     if (!error) {
@@ -274,12 +274,12 @@
   });
 }
 
-double Platform::turn() {
+double DiscoveryAgent::turn() {
   busy_until_ = std::max(busy_until_, world_.now()) + world_.scenario.discovery_call_ms / 1000;
   return busy_until_;
 }
 
-json Platform::member(int relay, size_t place, const std::string& phase, int64_t up_since_ms) const {
+json DiscoveryAgent::member(int relay, size_t place, const std::string& phase, int64_t up_since_ms) const {
   const auto& where = world_.places()[place];
   const ReceiverPlan& receiver = world_.plan.receivers[static_cast<size_t>(where.receiver)];
   const EndpointPlan& endpoint = receiver.endpoints[static_cast<size_t>(where.endpoint)];
@@ -296,7 +296,7 @@
           {"up_since_ms", up_since_ms}};
 }
 
-json Platform::list(int relay) const {
+json DiscoveryAgent::list(int relay) const {
   json out = {{"revision", revision_}, {"complete", true}, {"members", json::array()}};
   for (size_t p = 0; p < entries_.size(); ++p) {
     if (entries_[p].phase == "left") continue;
@@ -305,14 +305,14 @@
   return out;
 }
 
-void Platform::told_at_start(int relay) {
+void DiscoveryAgent::told_at_start(int relay) {
   for (size_t p = 0; p < entries_.size(); ++p) {
     const auto& where = world_.places()[p];
     world_.note({0, What::kTold, relay, where.receiver, where.endpoint, -1, 0, 0, entries_[p].phase});
   }
 }
 
-void Platform::set(size_t place, const std::string& phase) {
+void DiscoveryAgent::set(size_t place, const std::string& phase) {
   Entry& entry = entries_[place];
   if (entry.phase == phase) return;
   if (entry.phase == "left") entry.up_since_ms = net::wall_now() / 1000;
@@ -330,7 +330,7 @@
   }
 }
 
-void Platform::count_as_told(int relay, const Change& change, double at) {
+void DiscoveryAgent::count_as_told(int relay, const Change& change, double at) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(world_.io);
   timer->expires_at(world_.point(at));
   timer->async_wait([this, timer, relay, change](const Error& error) {
@@ -340,7 +340,7 @@
   });
 }
 
-void Platform::silence(int relay) {
+void DiscoveryAgent::silence(int relay) {
   bool any = false;
   for (const auto& session : open_) {
     if (!session->watching() || session->relay() != relay) continue;
@@ -352,7 +352,7 @@
   if (any) silent_.try_emplace(relay, world_.now());
 }
 
-int Platform::reached(const View& view) const {
+int DiscoveryAgent::reached(const View& view) const {
   int out = revision_;
   for (size_t p = 0; p < entries_.size(); ++p) {
     const Entry& entry = entries_[p];
@@ -364,7 +364,7 @@
   return out;
 }
 
-void Platform::down(bool out) {
+void DiscoveryAgent::down(bool out) {
   down_ = out;
   if (!out) return;
   for (const auto& session : std::list(open_)) {
--- a/lab/discovery_agent.h
+++ b/lab/discovery_agent.h
@@ -12,10 +12,10 @@
 
 namespace turntally::lab {
 
-class Platform {
+class DiscoveryAgent {
  public:
-  explicit Platform(World& world);  // listens at once
-  ~Platform();
+  explicit DiscoveryAgent(SimulatedFleet& world);  // listens at once
+  ~DiscoveryAgent();
 
   nlohmann::json list(int relay) const;  // the whole of it, with the addresses that the relay is told
   void told_at_start(int relay);         // notes that its configuration held the list as it is now
@@ -53,7 +53,7 @@
   nlohmann::json member(int relay, size_t place, const std::string& phase, int64_t up_since_ms) const;
   double turn();  // when a call that comes now is dealt with
 
-  World& world_;
+  SimulatedFleet& world_;
   tcp::acceptor acceptor_;
   std::list<std::shared_ptr<Session>> open_;
   std::vector<Entry> entries_;  // by place
--- a/lab/endpoints.cpp
+++ b/lab/endpoints.cpp
@@ -184,7 +184,7 @@
 
   Endpoints* owner_;
   size_t place_;
-  World::Place where_;
+  SimulatedFleet::Place where_;
   tcp::socket socket_;
   tcp::endpoint peer_;
   int relay_ = -1;
@@ -198,13 +198,13 @@
   http::response<http::string_body> answer_;
 };
 
-Endpoints::Site::Site(World& world, int number)
+Endpoints::Site::Site(SimulatedFleet& world, int number)
     : core(world.plan.receivers[static_cast<size_t>(number)],
            world.scenario.kinds[static_cast<size_t>(world.plan.receivers[static_cast<size_t>(number)].kind)],
            world.scenario, world.plan.seed),
       timer(world.io) {}
 
-Endpoints::Endpoints(World& world) : world_(world) {
+Endpoints::Endpoints(SimulatedFleet& world) : world_(world) {
   const size_t receivers = world.plan.receivers.size();
   for (size_t r = 0; r < receivers; ++r) sites_.push_back(std::make_unique<Site>(world, static_cast<int>(r)));
   open_.resize(world.places().size());
--- a/lab/endpoints.h
+++ b/lab/endpoints.h
@@ -14,7 +14,7 @@
 
 class Endpoints {
  public:
-  explicit Endpoints(World& world);  // listens at once
+  explicit Endpoints(SimulatedFleet& world);  // listens at once
   ~Endpoints();
 
   Receiver& receiver(int number) { return sites_[static_cast<size_t>(number)]->core; }
@@ -28,7 +28,7 @@
  private:
   class Session;
   struct Site {
-    Site(World& world, int number);
+    Site(SimulatedFleet& world, int number);
     Receiver core;
     boost::asio::steady_timer timer;
     std::map<uint64_t, Session*> calls;  // that wait for an answer
@@ -38,7 +38,7 @@
   void settle(int receiver);
   void carry_out(int receiver, std::vector<CallOut>& out);
 
-  World& world_;
+  SimulatedFleet& world_;
   std::vector<std::unique_ptr<Site>> sites_;
   std::vector<tcp::acceptor> acceptors_;                   // by place
   std::vector<std::list<std::shared_ptr<Session>>> open_;  // by place
--- a/lab/fenced_resource.cpp
+++ b/lab/fenced_resource.cpp
@@ -20,12 +20,13 @@
 
 }  // namespace
 
-Thing::Thing(boost::asio::io_context& io, const net::tcp::endpoint& listen, int number, Listener listener)
+FencedResource::FencedResource(boost::asio::io_context& io, const net::tcp::endpoint& listen, int number,
+                               Listener listener)
     : io_(io), listen_(listen), number_(number), listener_(std::move(listener)) {
   start();
 }
 
-void Thing::start() {
+void FencedResource::start() {
   server_ = std::make_unique<net::HttpServer>(
       io_, listen_, net::HttpLimits{},
       [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& to) {
@@ -34,7 +35,7 @@
   listen_ = server_->address();
 }
 
-net::HttpReply Thing::asked(const net::HttpRequest& request) {
+net::HttpReply FencedResource::asked(const net::HttpRequest& request) {
   const std::string lease = field(request, "x-lease");
   const std::string text = field(request, "x-lease-token");
   LeaseRecord record;
--- a/lab/fenced_resource.h
+++ b/lab/fenced_resource.h
@@ -14,11 +14,12 @@
 
 namespace turntally::lab {
 
-class Thing {
+class FencedResource {
  public:
   using Listener = std::function<void(LeaseRecord)>;  // of each act and fence; the time is left out
 
-  Thing(boost::asio::io_context& io, const net::tcp::endpoint& listen, int number, Listener listener);
+  FencedResource(boost::asio::io_context& io, const net::tcp::endpoint& listen, int number,
+                 Listener listener);
 
   void start();
   void stop() { server_.reset(); }  // what it has seen stays, as on a disk
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-Mirror::Mirror(World& world, std::function<void()> first) : world_(world), first_(std::move(first)) {}
+Mirror::Mirror(SimulatedFleet& world, std::function<void()> first)
+    : world_(world), first_(std::move(first)) {}
 
 Mirror::~Mirror() {
   *alive_ = false;
@@ -202,8 +203,8 @@
   http::request<http::string_body> request_;
 };
 
-Fleet::Fleet(World& world, Platform& platform, const std::string& program, const std::string& folder,
-             std::function<void()> ready)
+Fleet::Fleet(SimulatedFleet& world, DiscoveryAgent& platform, const std::string& program,
+             const std::string& folder, std::function<void()> ready)
     : world_(world), platform_(platform), views_(world.plan.relays.size()), mirror_(world, std::move(ready)) {
   for (size_t p = 0; p < world_.places().size(); ++p) places_[world_.endpoint_id(p)] = p;
   const int members = world_.scenario.registry_members;
@@ -269,7 +270,7 @@
 std::string Fleet::rewritten(int relay, const std::string& text, bool hears) {
   json line = json::parse(text, nullptr, false);
   if (!line.is_object() || !line.contains("members")) return text;
-  Platform::View& view = views_[static_cast<size_t>(relay)];
+  DiscoveryAgent::View& view = views_[static_cast<size_t>(relay)];
   if (hears && line.value("complete", false)) view.clear();
   for (json& member : line["members"]) {
     const auto it = places_.find(member.at("id").get<std::string>());
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -24,7 +24,8 @@
 // What discovery tells is written to the registry, one write at a time, the newest of each endpoint.
 class Mirror {
  public:
-  Mirror(World& world, std::function<void()> first);  // `first`: the whole list has been written once
+  Mirror(SimulatedFleet& world,
+         std::function<void()> first);  // `first`: the whole list has been written once
   ~Mirror();
   void start() { watch(); }
 
@@ -35,7 +36,7 @@
   void wrote(const std::set<std::string>& ids, const std::optional<net::HttpReply>& reply);
   void after(double seconds, std::function<void()> then);
 
-  World& world_;
+  SimulatedFleet& world_;
   std::function<void()> first_;
   std::shared_ptr<net::Lines> stream_;
   int64_t revision_ = -1;                       // of discovery's list
@@ -49,8 +50,8 @@
 class Fleet {
  public:
   // Throws where a member cannot be started.
-  Fleet(World& world, Platform& platform, const std::string& program, const std::string& folder,
-        std::function<void()> ready);
+  Fleet(SimulatedFleet& world, DiscoveryAgent& platform, const std::string& program,
+        const std::string& folder, std::function<void()> ready);
   ~Fleet();
 
   size_t watches() const { return watches_; }  // that relays began
@@ -65,12 +66,12 @@
   void accept(size_t member);
   std::string rewritten(int relay, const std::string& line, bool hears);
 
-  World& world_;
-  Platform& platform_;
+  SimulatedFleet& world_;
+  DiscoveryAgent& platform_;
   std::vector<pid_t> processes_;
   std::vector<std::unique_ptr<tcp::acceptor>> doors_;
   std::list<std::shared_ptr<Session>> open_;
-  std::vector<Platform::View> views_;  // what each relay was told
+  std::vector<DiscoveryAgent::View> views_;  // what each relay was told
   std::map<std::string, size_t> places_;
   Mirror mirror_;
   size_t watches_ = 0;
--- a/lab/lease_rules.cpp
+++ b/lab/lease_rules.cpp
@@ -6,7 +6,7 @@
 #include "lab/lease_simulation.h"
 #include "net/random.h"
 
-namespace turntally::lease_world {
+namespace turntally::lease_simulation {
 namespace {
 
 using Kind = LeaseEvent::Kind;
@@ -155,4 +155,4 @@
   return out;
 }
 
-}  // namespace turntally::lease_world
+}  // namespace turntally::lease_simulation
--- a/lab/lease_scenario.cpp
+++ b/lab/lease_scenario.cpp
@@ -119,9 +119,9 @@
 
 class Play {
  public:
-  Play(const LeaseScenario& scenario, const LeasePlayOptions& options);
+  Play(const LeaseScenario& scenario, const LeaseScenarioOptions& options);
   ~Play();
-  LeasePlayed run();
+  LeaseScenarioResult run();
 
  private:
   double now() const { return stage_.now(); }
@@ -151,11 +151,11 @@
   void count_renewals();
 
   const LeaseScenario& scenario_;
-  const LeasePlayOptions& options_;
+  const LeaseScenarioOptions& options_;
   net::Random random_;
-  Stage stage_;
+  TestEnvironment stage_;
   Members members_;
-  std::vector<std::unique_ptr<Thing>> things_;
+  std::vector<std::unique_ptr<FencedResource>> things_;
   std::vector<Controller> controllers_;
   std::vector<std::vector<std::unique_ptr<Link>>> to_members_;  // of each controller
   std::vector<std::vector<std::unique_ptr<Link>>> to_things_;
@@ -173,10 +173,10 @@
   std::vector<double> late_ms_;
   std::map<size_t, double> renewed_;  // at each member
   double renewals_ = 0;
-  LeasePlayed out_;
+  LeaseScenarioResult out_;
 };
 
-Play::Play(const LeaseScenario& scenario, const LeasePlayOptions& options)
+Play::Play(const LeaseScenario& scenario, const LeaseScenarioOptions& options)
     : scenario_(scenario),
       options_(options),
       random_(options.seed, 37),
@@ -192,7 +192,7 @@
   for (int t = 0; t < scenario_.things; ++t) {
     const net::tcp::endpoint at(stage_.address(80 + t), 7301);
     things_.push_back(
-        std::make_unique<Thing>(stage_.io(), at, t, [this](const LeaseRecord& r) { record(r); }));
+        std::make_unique<FencedResource>(stage_.io(), at, t, [this](const LeaseRecord& r) { record(r); }));
   }
   for (int c = 0; c < scenario_.controllers; ++c) {
     Controller one;
@@ -233,7 +233,7 @@
     line.update({{"thing", r.thing + 1}, {"accepted", r.accepted}});
   if (r.what == Sort::kAct || r.what == Sort::kKept) line["number"] = r.number;
   if (!r.text.empty()) line["text"] = r.text;
-  stage_.note(name_of(r.what), line);
+  stage_.record(name_of(r.what), line);
   const bool names = r.what == Sort::kGrant || r.what == Sort::kFence || r.what == Sort::kAct;
   if (names) {
     for (Controller& one : controllers_) {
@@ -280,7 +280,7 @@
   one.process = spawn(what);
   one.stopped = one.ends = false;
   one.holder.clear();
-  stage_.note("start", {{"controller", one.number}, {"process", one.process}, {"rate", one.rate}});
+  stage_.record("start", {{"controller", one.number}, {"process", one.process}, {"rate", one.rate}});
 }
 
 void Play::kill(Controller& one) {
@@ -302,7 +302,7 @@
     int status = 0;
     if (one.process == 0 || ::waitpid(one.process, &status, WNOHANG) != one.process) continue;
     one.process = 0;
-    stage_.note("ended", {{"controller", one.number}, {"status", status}, {"asked", one.ends}});
+    stage_.record("ended", {{"controller", one.number}, {"status", status}, {"asked", one.ends}});
     if (!one.ends || status != 0) {
       record({Sort::kEnded, 0, 0, 0, "", false, 0,
               "controller " + std::to_string(one.number) + " ended at " + std::to_string(now()) +
@@ -411,10 +411,10 @@
 bool Play::controller_fault(const LeaseFault& fault, Controller& one) {
   const bool links = fault.kind == Kind::kCut || fault.kind == Kind::kSlow;
   if (one.process == 0 || one.stopped || one.ends || (links && one.linked)) return false;
-  stage_.note("fault", {{"kind", kKinds[static_cast<size_t>(fault.kind)]},
-                        {"controller", one.number},
-                        {"holds", &one == holding()},
-                        {"for", fault.for_s}});
+  stage_.record("fault", {{"kind", kKinds[static_cast<size_t>(fault.kind)]},
+                          {"controller", one.number},
+                          {"holds", &one == holding()},
+                          {"for", fault.for_s}});
   switch (fault.kind) {
     case Kind::kKill:
       kill(one);
@@ -440,7 +440,7 @@
         if (one.process != process) return;
         ::kill(process, SIGCONT);
         one.stopped = false;
-        stage_.note("continue", {{"controller", one.number}});
+        stage_.record("continue", {{"controller", one.number}});
       });
       break;
     case Kind::kClock:
@@ -467,7 +467,7 @@
       stage_.after(fault.for_s, [this, &one, &fault] {
         set_links(one, fault, {});
         one.linked = false;
-        stage_.note("linked", {{"controller", one.number}});
+        stage_.record("linked", {{"controller", one.number}});
       });
       break;
     }
@@ -491,7 +491,7 @@
   const size_t drawn = random_.below(things_.size());
   for (size_t t = 0; t < things_.size(); ++t) {
     if ((fault.who == "thing" && t != drawn) || !things_[t]->runs()) continue;
-    stage_.note("fault", {{"kind", "kill"}, {"thing", t + 1}, {"for", fault.for_s}});
+    stage_.record("fault", {{"kind", "kill"}, {"thing", t + 1}, {"for", fault.for_s}});
     ++out_.faults;
     things_[t]->stop();
     stage_.after(fault.for_s, [this, t] { things_[t]->start(); });
@@ -515,13 +515,14 @@
   const std::string to =
       waiting_.empty() || random_.chance(0.5) ? "" : waiting_[random_.below(waiting_.size())];
   const json body = {{"call", "hand_over"}, {"holder", "lab"}, {"to", to}};
-  stage_.note("fault", {{"kind", "hand_over"}, {"from", newest_holder_}, {"to", to}});
+  stage_.record("fault", {{"kind", "hand_over"}, {"from", newest_holder_}, {"to", to}});
   ++out_.faults;
   call(members_.http(members_.any()), {"POST", kTarget, {}, body.dump(), milliseconds(2000)}, 2,
        [this, &fault](const std::optional<HttpReply>& reply) {
          if (over_) return;
          const bool well = reply && reply->status == 200;
-         stage_.note("answered", {{"status", reply ? reply->status : 0}, {"body", reply ? reply->body : ""}});
+         stage_.record("answered",
+                       {{"status", reply ? reply->status : 0}, {"body", reply ? reply->body : ""}});
          if (!well) return;
          ++out_.hand_overs;
          record({Sort::kHandOver, 0, 0, 0, newest_holder_, false, 0, ""});
@@ -540,8 +541,8 @@
   net::http_call(stage_.io(), members_.http(at), {"GET", "/registry/backup", {}, "", milliseconds(3000)},
                  [this, &fault](const std::optional<HttpReply>& reply) {
                    if (over_) return;
-                   if (!reply || reply->status != 200) return stage_.note("no_backup");
-                   stage_.note("backup", {{"holder", newest_holder_}});
+                   if (!reply || reply->status != 200) return stage_.record("no_backup");
+                   stage_.record("backup", {{"holder", newest_holder_}});
                    LeaseFault kill_it;
                    kill_it.for_s = 0.5;
                    if (Controller* one = holding()) controller_fault(kill_it, *one);
@@ -594,7 +595,7 @@
   if (!over_) stage_.after(1, [this] { count_renewals(); });
 }
 
-LeasePlayed Play::run() {
+LeaseScenarioResult Play::run() {
   members_.start();
   stage_.await([this] { return members_.leader() >= 0; }, 20, "the registry");
   stage_.begin();
@@ -611,7 +612,7 @@
   const double from = now();
   const double until = from + scenario_.seconds;
   faults_until_ = until;
-  stage_.note("begins");
+  stage_.record("begins");
   for (const LeaseFault& fault : faults_) schedule(fault);
   LeaseRules rules;
   rules.serves_from = until + scenario_.settle_s;
@@ -681,7 +682,7 @@
   return out;
 }
 
-nlohmann::ordered_json LeasePlayed::to_json() const {
+nlohmann::ordered_json LeaseScenarioResult::to_json() const {
   const auto& fail = figures.failovers_s;
   const auto& hand = figures.hand_overs_s;
   return {{"acts", figures.acts},
@@ -711,7 +712,7 @@
   return read(net::Section::text(name, toml), name);
 }
 
-LeasePlayed play_leases(const LeaseScenario& scenario, const LeasePlayOptions& options) {
+LeaseScenarioResult run_lease_scenario(const LeaseScenario& scenario, const LeaseScenarioOptions& options) {
   Play play(scenario, options);
   return play.run();
 }
--- a/lab/lease_scenario.h
+++ b/lab/lease_scenario.h
@@ -67,7 +67,7 @@
 // The scenario's own faults and the drawn ones.
 std::vector<LeaseFault> faults_of(const LeaseScenario& scenario, uint64_t seed);
 
-struct LeasePlayed {
+struct LeaseScenarioResult {
   LeaseHistory history;
   std::vector<Verdict> verdicts;
   LeaseFigures figures;
@@ -78,7 +78,7 @@
   nlohmann::ordered_json to_json() const;
 };
 
-struct LeasePlayOptions {
+struct LeaseScenarioOptions {
   std::string program;  // turntally
   std::string folder;   // of the run; it exists and is empty
   uint64_t seed = 1;
@@ -87,6 +87,6 @@
 };
 
 // Throws std::runtime_error where a run cannot be set up.
-LeasePlayed play_leases(const LeaseScenario& scenario, const LeasePlayOptions& options);
+LeaseScenarioResult run_lease_scenario(const LeaseScenario& scenario, const LeaseScenarioOptions& options);
 
 }  // namespace turntally::lab
--- a/lab/lease_simulation.cpp
+++ b/lab/lease_simulation.cpp
@@ -9,13 +9,13 @@
 #include "net/random.h"
 #include "registry/lease_table.h"
 
-namespace turntally::lease_world {
+namespace turntally::lease_simulation {
 namespace {
 
 using lease::Time;
 using lease::Token;
-using registry::LeaseAnswer;
-using registry::LeaseCall;
+using registry::LeaseCommand;
+using registry::LeaseResult;
 using registry::Millis;
 using Kind = LeaseEvent::Kind;
 
@@ -65,7 +65,7 @@
   int lease = 0;
   int who = 0;
   std::string name;
-  std::unique_ptr<lease::Holder> holder;
+  std::unique_ptr<lease::LeaseState> holder;
   Time wake = kNever;  // true times for which a tick, or a look at held(), is planned
   Time lapse = kNever;
   int target = 0;  // the member that it calls
@@ -107,7 +107,7 @@
   enum class Kind { kCall, kAct, kTick, kLead, kBegin, kLose };
   Kind kind = Kind::kTick;
   Millis now = 0;
-  LeaseCall call;
+  LeaseCommand call;
   int lease = 0;
   int slot = -1;  // who is answered, in that life
   uint64_t life = 0;
@@ -186,7 +186,7 @@
     registry::LeaseLimits limits;
     limits.most_ttl_ms = most_ / kMs;
     limits_ = limits;
-    table_ = registry::Leases(limits);
+    table_ = registry::LeaseTable(limits);
     processes_.resize(leases * kEach);
     for (size_t i = 0; i < kFaults; ++i)
       weights_.push_back(random_.chance(0.6) ? random_.between(0.2, 1) : 0);
@@ -292,7 +292,7 @@
     while (truly_leads(index) && !m.cut && !pending_.empty() && pending_.front().ready <= now_) {
       const Entry entry = std::move(pending_.front());
       pending_.pop_front();
-      const LeaseAnswer answer = apply(entry);
+      const LeaseResult answer = apply(entry);
       if (m.dies_at_commit && entry.slot >= 0) {
         m.dies_at_commit = false;
         kill_member(index);
@@ -302,10 +302,10 @@
     }
   }
 
-  LeaseAnswer apply(const Entry& entry) {
+  LeaseResult apply(const Entry& entry) {
     index_ += 1 + (random_.chance(0.1) ? random_.below(5) : 0);  // other commands of the registry between
     log_now_ = std::max(log_now_, entry.now);
-    LeaseAnswer out;
+    LeaseResult out;
     switch (entry.kind) {
       case Entry::Kind::kCall:
         out = table_.apply(index_, log_now_, entry.call);
@@ -313,8 +313,8 @@
       case Entry::Kind::kAct:
         table_.tick(index_, log_now_);
         out.kind = !guards_.fencing || table_.holds(entry.call.name, entry.call.token)
-                       ? LeaseAnswer::Kind::kHeld
-                       : LeaseAnswer::Kind::kFenced;
+                       ? LeaseResult::Kind::kGranted
+                       : LeaseResult::Kind::kFenced;
         break;
       case Entry::Kind::kTick:
         table_.tick(index_, log_now_);
@@ -324,7 +324,7 @@
         break;
       case Entry::Kind::kLose:  // all folders are lost: another list, whose revisions are above the old one's
         index_ += 1000;
-        table_ = registry::Leases(limits_);
+        table_ = registry::LeaseTable(limits_);
         [[fallthrough]];
       case Entry::Kind::kBegin:
         table_.begin(log_now_);
@@ -338,7 +338,7 @@
       note(Kind::kGranted, i, who(it->second.holder), -1, it->second.token);
     }
     if (entry.kind == Entry::Kind::kAct) {
-      note(out.kind == LeaseAnswer::Kind::kHeld ? Kind::kActed : Kind::kRefused, entry.lease, entry.who,
+      note(out.kind == LeaseResult::Kind::kGranted ? Kind::kActed : Kind::kRefused, entry.lease, entry.who,
            kRegistry, entry.call.token);
     }
     return out;
@@ -346,29 +346,29 @@
   static int who(const std::string& name) { return std::stoi(name.substr(1)); }
 
   // Answers travel back from a member; `hint` is the leader it knows, where it does not lead.
-  void answer(int index, const Entry& entry, const LeaseAnswer& answer) {
-    lease::Reply reply;
+  void answer(int index, const Entry& entry, const LeaseResult& answer) {
+    lease::LeaseReply reply;
     switch (answer.kind) {
-      case LeaseAnswer::Kind::kHeld:
-        reply.kind = lease::Reply::Kind::kHeld;
+      case LeaseResult::Kind::kGranted:
+        reply.kind = lease::LeaseReply::Kind::kGranted;
         break;
-      case LeaseAnswer::Kind::kWaits:
-        reply.kind = lease::Reply::Kind::kWaits;
+      case LeaseResult::Kind::kQueued:
+        reply.kind = lease::LeaseReply::Kind::kQueued;
         break;
-      case LeaseAnswer::Kind::kFenced:
-      case LeaseAnswer::Kind::kUnknown:
-        reply.kind = lease::Reply::Kind::kFenced;
+      case LeaseResult::Kind::kFenced:
+      case LeaseResult::Kind::kUnknown:
+        reply.kind = lease::LeaseReply::Kind::kFenced;
         break;
-      case LeaseAnswer::Kind::kRefused:
-        reply.kind = lease::Reply::Kind::kRefused;
+      case LeaseResult::Kind::kRefused:
+        reply.kind = lease::LeaseReply::Kind::kRefused;
         break;
     }
     reply.token = answer.token;
-    reply.asked_back = answer.asked_back;
-    reply.wait = answer.wait_ms * kMs;
+    reply.release_requested = answer.release_requested;
+    reply.retry_after = answer.retry_after_ms * kMs;
     tell(index, entry, reply, -1);
   }
-  void tell(int index, const Entry& entry, const lease::Reply& reply, int hint) {
+  void tell(int index, const Entry& entry, const lease::LeaseReply& reply, int hint) {
     Process& p = processes_[entry.slot];
     message(((p.cut_from >> index) & 1) != 0, mean_back_,
             [this, &p, life = entry.life, kind = entry.kind, number = entry.number, reply, hint] {
@@ -485,7 +485,7 @@
     p.up = true;
     p.who = slot * 1000 + ++starts_[slot];
     p.name = "p" + std::to_string(p.who);
-    lease::HolderSettings s;
+    lease::LeaseSettings s;
     s.name = names_[p.lease];
     s.holder = p.name;
     s.ttl = ttl_[p.lease];
@@ -494,7 +494,7 @@
     s.first_pause = 20 * kMs;
     s.most_pause = kPause;
     s.seed = net::mix(settings_.seed ^ net::mix(static_cast<uint64_t>(p.who)));
-    p.holder = std::make_unique<lease::Holder>(s);
+    p.holder = std::make_unique<lease::LeaseState>(s);
     p.target = static_cast<int>(random_.below(kMembers));
     p.unanswered = p.closing = false;
     p.cut_to = p.cut_from = 0;
@@ -510,13 +510,13 @@
 
   bool acting(const Process& p) const {
     const Time local = p.clock.at(now_);
-    return guards_.from_send ? p.holder->held(local) : p.late_token != 0 && local < p.late_until;
+    return guards_.from_send ? p.holder->is_held(local) : p.late_token != 0 && local < p.late_until;
   }
   Token token(const Process& p) const { return guards_.from_send ? p.holder->token() : p.late_token; }
 
-  void heard(Process& p, uint64_t number, const lease::Reply& reply) {
+  void heard(Process& p, uint64_t number, const lease::LeaseReply& reply) {
     p.unanswered = false;
-    if (reply.kind == lease::Reply::Kind::kWaits) p.late_token = 0;
+    if (reply.kind == lease::LeaseReply::Kind::kQueued) p.late_token = 0;
     const Time before = p.holder->held_until();
     note(Kind::kAnswered, p.lease, p.who, -1, reply.token, static_cast<int64_t>(reply.kind));
     const auto actions = p.holder->answered(p.clock.at(now_), number, reply);
@@ -530,10 +530,10 @@
 
   void perform(Process& p, const std::vector<lease::Action>& actions) {
     for (const lease::Action& action : actions) {
-      if (const auto* ask = std::get_if<lease::Ask>(&action)) {
+      if (const auto* ask = std::get_if<lease::LeaseRequest>(&action)) {
         send(p, *ask);
-      } else if (const auto* stop = std::get_if<lease::Stop>(&action)) {
-        if (stop->why != "margin") p.late_token = 0;
+      } else if (const auto* stop = std::get_if<lease::LeaseLost>(&action)) {
+        if (stop->reason != "margin") p.late_token = 0;
       }
     }
     observe(p);
@@ -576,18 +576,18 @@
     p.shown = holds;
   }
 
-  void send(Process& p, const lease::Ask& ask) {
+  void send(Process& p, const lease::LeaseRequest& ask) {
     Entry entry;
     entry.kind = Entry::Kind::kCall;
     switch (ask.kind) {
-      case lease::Ask::Kind::kCampaign:
-        entry.call.kind = LeaseCall::Kind::kCampaign;
+      case lease::LeaseRequest::Kind::kCampaign:
+        entry.call.kind = LeaseCommand::Kind::kCampaign;
         break;
-      case lease::Ask::Kind::kRenew:
-        entry.call.kind = LeaseCall::Kind::kRenew;
+      case lease::LeaseRequest::Kind::kRenew:
+        entry.call.kind = LeaseCommand::Kind::kRenew;
         break;
-      case lease::Ask::Kind::kRelease:
-        entry.call.kind = LeaseCall::Kind::kRelease;
+      case lease::LeaseRequest::Kind::kRelease:
+        entry.call.kind = LeaseCommand::Kind::kRelease;
         break;
     }
     entry.call.ttl_ms = ttl_[p.lease] / kMs;
@@ -645,9 +645,9 @@
     if (p.reign != reign) return;
     std::erase_if(p.out, [&](const Process::Out& o) { return o.until <= now_; });
     if (!acting(p)) return;
-    if (p.holder->asked_back()) {
+    if (p.holder->release_requested()) {
       if (p.out.empty()) {
-        perform(p, p.holder->done(p.clock.at(now_)));
+        perform(p, p.holder->release(p.clock.at(now_)));
       } else {
         plan_act(p);
       }
@@ -877,11 +877,11 @@
   void hand_over(int lease) {
     const auto it = table_.all().find(names_[lease]);
     if (it == table_.all().end() || leader_ < 0) return;
-    const auto& line = it->second.line;
+    const auto& line = it->second.queue;
     Entry entry;
     entry.kind = Entry::Kind::kCall;
     entry.lease = lease;
-    entry.call.kind = LeaseCall::Kind::kHandOver;
+    entry.call.kind = LeaseCommand::Kind::kHandOver;
     entry.call.name = names_[lease];
     entry.call.holder = "operator";
     if (!line.empty() && faults_.chance(0.7)) entry.call.to = line[drawn(line.size())].holder;
@@ -947,7 +947,7 @@
   Time mean_back_ = 0;   // of an answer
 
   registry::LeaseLimits limits_;
-  registry::Leases table_;
+  registry::LeaseTable table_;
   Token index_ = 0;
   Millis log_now_ = 0;
   std::array<Token, 2> granted_{};
@@ -966,4 +966,4 @@
 
 LeaseHistory play_leases(const LeaseWorldSettings& settings) { return World(settings).run(); }
 
-}  // namespace turntally::lease_world
+}  // namespace turntally::lease_simulation
--- a/lab/lease_simulation.h
+++ b/lab/lease_simulation.h
@@ -13,7 +13,7 @@
 
 #include "lease/lease_state.h"
 
-namespace turntally::lease_world {
+namespace turntally::lease_simulation {
 
 // What the argument says is needed. Each may be taken out, to see that it is.
 struct LeaseGuards {
@@ -106,4 +106,4 @@
 // none.
 lease::Time alive_after(const LeaseHistory& history);
 
-}  // namespace turntally::lease_world
+}  // namespace turntally::lease_simulation
--- a/lab/members.cpp
+++ b/lab/members.cpp
@@ -21,7 +21,7 @@
   return kNames;
 }
 
-Members::Members(Stage& stage, MemberSettings settings, net::Random& random,
+Members::Members(TestEnvironment& stage, MemberSettings settings, net::Random& random,
                  std::function<void(const std::string&)> broken)
     : stage_(stage), settings_(std::move(settings)), random_(random), broken_(std::move(broken)) {
   for (int i = 0; i < settings_.members; ++i) {
@@ -89,7 +89,7 @@
   what.log = member.log;
   member.process = spawn(what);
   member.stopped = member.full = member.served = false;
-  stage_.note("start", {{"member", member.number}});
+  stage_.record("start", {{"member", member.number}});
 }
 
 void Members::kill(Member& member) {
@@ -113,7 +113,7 @@
     if (member.process == 0 || ::waitpid(member.process, &status, WNOHANG) != member.process) continue;
     member.process = 0;
     if (over_) continue;
-    stage_.note("ended", {{"member", member.number}, {"status", status}});
+    stage_.record("ended", {{"member", member.number}, {"status", status}});
     broken_("member " + std::to_string(member.number) + " ended by itself at " +
             std::to_string(stage_.now()) + " s, status " + std::to_string(status));
   }
@@ -166,10 +166,10 @@
 bool Members::fault(Fault kind, size_t i, double for_s) {
   Member& member = members_[i];
   if (member.process == 0 || member.stopped || member.full) return false;
-  stage_.note("fault", {{"kind", fault_names()[static_cast<size_t>(kind)]},
-                        {"member", member.number},
-                        {"leads", static_cast<int>(i) == leader_},
-                        {"for", for_s}});
+  stage_.record("fault", {{"kind", fault_names()[static_cast<size_t>(kind)]},
+                          {"member", member.number},
+                          {"leads", static_cast<int>(i) == leader_},
+                          {"for", for_s}});
   switch (kind) {
     case Fault::kKill:
     case Fault::kLose:
@@ -201,7 +201,7 @@
         const rlimit all{RLIM_INFINITY, RLIM_INFINITY};
         ::prlimit(process, RLIMIT_FSIZE, &all, nullptr);
         member.full = false;
-        stage_.note("room", {{"member", member.number}});
+        stage_.record("room", {{"member", member.number}});
       });
       break;
     }
--- a/lab/members.h
+++ b/lab/members.h
@@ -44,7 +44,7 @@
   static const std::vector<std::string>& fault_names();   // in this order
 
   // `broken` hears of a member that ended by itself.
-  Members(Stage& stage, MemberSettings settings, net::Random& random,
+  Members(TestEnvironment& stage, MemberSettings settings, net::Random& random,
           std::function<void(const std::string&)> broken);
   ~Members();  // kills what runs
 
@@ -72,7 +72,7 @@
   void watch_processes();
   void ask_who_leads();
 
-  Stage& stage_;
+  TestEnvironment& stage_;
   MemberSettings settings_;
   net::Random& random_;
   std::function<void(const std::string&)> broken_;
--- a/lab/registry_scenario.cpp
+++ b/lab/registry_scenario.cpp
@@ -87,8 +87,8 @@
 
 class Play {
  public:
-  Play(const RegistryScenario& scenario, const RegistryPlayOptions& options);
-  RegistryPlayed run();
+  Play(const RegistryScenario& scenario, const RegistryScenarioOptions& options);
+  RegistryScenarioResult run();
 
  private:
   struct Writer;
@@ -109,15 +109,15 @@
   void backup_and_restore();
   bool settled();
   std::optional<HttpReply> wait_for(size_t member, net::HttpCall call);
-  void finish(RegistryPlayed& out);
+  void finish(RegistryScenarioResult& out);
   Verdict linear() const;
   Verdict watches() const;
   Verdict agree();
 
   const RegistryScenario& scenario_;
-  const RegistryPlayOptions& options_;
+  const RegistryScenarioOptions& options_;
   net::Random random_;
-  Stage stage_;
+  TestEnvironment stage_;
   boost::asio::io_context& io_ = stage_.io();
   Members members_;
   bool writing_ = true;
@@ -143,7 +143,7 @@
   Verdict alive_{"alive", 0, {}};
   Verdict bulk_{"bulk", 0, {}};
   size_t expired_ = 0;
-  RegistryPlayed out_;
+  RegistryScenarioResult out_;
   std::string backup_;
 };
 
@@ -228,11 +228,11 @@
       const bool done = reply->status == 200;
       if (!done) op.kind = Operation::Kind::kNotSwap;
       play.operations_[id].push_back(op);
-      play.stage_.note("write", {{"id", id},
-                                 {"value", op.value},
-                                 {"begin", op.begin},
-                                 {"status", reply->status},
-                                 {"revision", body.value("revision", int64_t{0})}});
+      play.stage_.record("write", {{"id", id},
+                                   {"value", op.value},
+                                   {"begin", op.begin},
+                                   {"status", reply->status},
+                                   {"revision", body.value("revision", int64_t{0})}});
       if (done) {
         play.acks_[id].push_back({body.value("revision", int64_t{0}), op.value});
         play.written_.emplace_back(op.begin, op.end);
@@ -250,8 +250,8 @@
         op.end = Operation::kNever;
         play.operations_[id].push_back(op);
         play.uncertain_[id].insert(op.value);
-        play.stage_.note("write",
-                         {{"id", id}, {"value", op.value}, {"begin", op.begin}, {"status", "unknown"}});
+        play.stage_.record("write",
+                           {{"id", id}, {"value", op.value}, {"begin", op.begin}, {"status", "unknown"}});
       }
       return next();
     }
@@ -306,17 +306,18 @@
 struct Play::Watching {
   std::map<std::string, json> view;
   std::vector<Seen> seen;
-  std::unique_ptr<registry::Follower> follower;
+  std::unique_ptr<registry::ListFollower> follower;
 
   Watching(Play& play, uint64_t seed) {
-    registry::FollowSettings settings;
+    registry::ListFollowerSettings settings;
     for (size_t i = 0; i < play.members_.size(); ++i) settings.members.push_back(play.http(i));
     settings.guard.hold_ms = kFollowHold.count();
     settings.callers = 2;
     settings.seed = seed;
-    follower = std::make_unique<registry::Follower>(
+    follower = std::make_unique<registry::ListFollower>(
         play.io_, settings, json(),
-        registry::Follower::Listener{[this, &play](const json& line) { told(play, line); }, [] {}, nullptr});
+        registry::ListFollower::Listener{[this, &play](const json& line) { told(play, line); }, [] {},
+                                         nullptr});
   }
 
   void told(Play& play, const json& line) {
@@ -338,7 +339,7 @@
   }
 };
 
-Play::Play(const RegistryScenario& scenario, const RegistryPlayOptions& options)
+Play::Play(const RegistryScenario& scenario, const RegistryScenarioOptions& options)
     : scenario_(scenario),
       options_(options),
       random_(options.seed, 31),
@@ -448,7 +449,7 @@
                    });
   });
   after(scenario_.seconds * 2 / 3, [this] {
-    stage_.note("restore");
+    stage_.record("restore");
     const size_t at = members_.leader() >= 0 ? static_cast<size_t>(members_.leader()) : 0;
     net::http_call(io_, http(at), {"POST", "/registry/restore", {}, backup_, milliseconds(3000)},
                    [this](const std::optional<HttpReply>& reply) {
@@ -557,7 +558,7 @@
   return same;
 }
 
-RegistryPlayed Play::run() {
+RegistryScenarioResult Play::run() {
   members_.start();
   stage_.await([this] { return members_.leader() >= 0; }, 20, "the registry");
   const auto put = [&](const json& items) {
@@ -627,13 +628,13 @@
   const double settle = now() + scenario_.settle_s + kPatience;
   io_.run_for(milliseconds(static_cast<int>(scenario_.settle_s * 1000)));
   while (now() < settle && !settled()) io_.run_for(milliseconds(100));
-  RegistryPlayed& out = out_;
+  RegistryScenarioResult& out = out_;
   out.verdicts = {linear(), watches(), agree()};
   finish(out);
   return out;
 }
 
-void Play::finish(RegistryPlayed& out) {
+void Play::finish(RegistryScenarioResult& out) {
   for (const auto& follower : followers_) {
     size_t most = 0;
     const auto all = static_cast<size_t>(scenario_.renewing);
@@ -685,7 +686,7 @@
 
 }  // namespace
 
-nlohmann::ordered_json RegistryPlayed::figures() const {
+nlohmann::ordered_json RegistryScenarioResult::figures() const {
   return {{"writes", writes},
           {"refused", refused},
           {"unknown", unknown},
@@ -715,7 +716,8 @@
   return read(net::Section::text(name, toml), name);
 }
 
-RegistryPlayed play_registry(const RegistryScenario& scenario, const RegistryPlayOptions& options) {
+RegistryScenarioResult run_registry_scenario(const RegistryScenario& scenario,
+                                             const RegistryScenarioOptions& options) {
   Play play(scenario, options);
   return play.run();
 }
--- a/lab/registry_scenario.h
+++ b/lab/registry_scenario.h
@@ -51,7 +51,7 @@
 RegistryScenario read_registry_scenario(const std::string& path);
 RegistryScenario parse_registry_scenario(const std::string& name, const std::string& toml);
 
-struct RegistryPlayed {
+struct RegistryScenarioResult {
   std::vector<Verdict> verdicts;  // linear, watches, agree, bulk, serving, alive
   nlohmann::ordered_json figures() const;
   size_t writes = 0;   // with an answer that says done
@@ -70,7 +70,7 @@
   size_t refused_with_reason = 0;
 };
 
-struct RegistryPlayOptions {
+struct RegistryScenarioOptions {
   std::string program;  // turntally
   std::string folder;   // of the run; it exists and is empty
   uint64_t seed = 1;
@@ -79,6 +79,7 @@
 };
 
 // Throws an error of errors.h where a run cannot be set up.
-RegistryPlayed play_registry(const RegistryScenario& scenario, const RegistryPlayOptions& options);
+RegistryScenarioResult run_registry_scenario(const RegistryScenario& scenario,
+                                             const RegistryScenarioOptions& options);
 
 }  // namespace turntally::lab
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -84,7 +84,7 @@
 
 // One line a second: what came, what was delivered in time and late, what was refused, and relays that are
 // up.
-std::string series(const Scenario& scenario, const Played& played) {
+std::string series(const Scenario& scenario, const ScenarioResult& played) {
   struct Second {
     int put = 0, in_time = 0, late = 0, refused = 0, back = 0, up = 0;
   };
@@ -123,7 +123,7 @@
   return out;
 }
 
-std::string quantiles(const Played& played) {
+std::string quantiles(const ScenarioResult& played) {
   auto histogram = latency_axis();
   for (const auto& [first, fate] : fates(played.history)) {
     if (fate.delivered >= 0) histogram(fate.delivered - fate.put);
@@ -164,8 +164,8 @@
        "plot 'latency.dat' using 1:2 with lines lw 2 lc rgb '#2166ac' notitle\n");
 }
 
-std::string page(const RunFolder& folder, const Scenario& scenario, const Plan& plan, const Played& played,
-                 const Figures& f, const std::vector<Verdict>& verdicts) {
+std::string page(const RunFolder& folder, const Scenario& scenario, const Plan& plan,
+                 const ScenarioResult& played, const Figures& f, const std::vector<Verdict>& verdicts) {
   std::string out = "# Run of " + scenario.name + ", seed " + std::to_string(plan.seed) + "\n\n";
   if (!scenario.about.empty()) out += scenario.about + "\n\n";
   out += "Program: `" + folder.build + "`. " + std::to_string(plan.relays.size()) + " relays, " +
@@ -261,7 +261,7 @@
 
 }  // namespace
 
-Figures figures_of(const Scenario& scenario, const Played& played) {
+Figures figures_of(const Scenario& scenario, const ScenarioResult& played) {
   Figures out;
   auto histogram = latency_axis();
   double worth = 0;
@@ -384,8 +384,9 @@
          std::to_string(broken) + " broken";
 }
 
-void write_folder(const RunFolder& folder, const Scenario& scenario, const Plan& plan, const Played& played,
-                  const Figures& figures, const std::vector<Verdict>& verdicts) {
+void write_folder(const RunFolder& folder, const Scenario& scenario, const Plan& plan,
+                  const ScenarioResult& played, const Figures& figures,
+                  const std::vector<Verdict>& verdicts) {
   const fs::path path(folder.path);
   std::error_code ignored;
   fs::copy_file(folder.scenario_file, path / "scenario.toml", fs::copy_options::overwrite_existing, ignored);
--- a/lab/report.h
+++ b/lab/report.h
@@ -46,7 +46,7 @@
   bool measured = true;  // the lab kept time: else its figures are not the program's
 };
 
-Figures figures_of(const Scenario& scenario, const Played& played);
+Figures figures_of(const Scenario& scenario, const ScenarioResult& played);
 nlohmann::ordered_json to_json(const Figures& figures);
 
 Rules rules_of(const Scenario& scenario, const Plan& plan);
@@ -59,8 +59,8 @@
 };
 
 // Writes all files of the folder; throws NotWritten or NoPlot.
-void write_folder(const RunFolder& folder, const Scenario& scenario, const Plan& plan, const Played& played,
-                  const Figures& figures, const std::vector<Verdict>& verdicts);
+void write_folder(const RunFolder& folder, const Scenario& scenario, const Plan& plan,
+                  const ScenarioResult& played, const Figures& figures, const std::vector<Verdict>& verdicts);
 
 // "invariants: N held, M broken", and before it each one that is broken with the first of its events.
 std::string summary(const History& history, const std::vector<Verdict>& verdicts);
--- a/lab/scenario_runner.cpp
+++ b/lab/scenario_runner.cpp
@@ -57,7 +57,7 @@
 
 class Play {
  public:
-  Play(const Scenario& scenario, const Plan& plan, const PlayOptions& options)
+  Play(const Scenario& scenario, const Plan& plan, const ScenarioOptions& options)
       : scenario_(scenario),
         plan_(plan),
         options_(options),
@@ -79,7 +79,7 @@
     }
   }
 
-  Played run() {
+  ScenarioResult run() {
     const net::Time began = net::steady_now();
     world_.begin(began);
     await_children();
@@ -94,7 +94,7 @@
       start_all();
     }
     io_.run();
-    Played out;
+    ScenarioResult out;
     out.history = std::move(world_.history);
     // What came before the first arrival has negative times, in the arrivals' clock.
     for (Event& event : out.history.events) event.at -= first_;
@@ -692,10 +692,10 @@
 
   const Scenario& scenario_;
   const Plan& plan_;
-  const PlayOptions& options_;
+  const ScenarioOptions& options_;
   boost::asio::io_context io_{1};
-  World world_;
-  Platform platform_;
+  SimulatedFleet world_;
+  DiscoveryAgent platform_;
   std::optional<Fleet> fleet_;
   Endpoints endpoints_;
   Clients clients_;
@@ -719,7 +719,7 @@
 
 }  // namespace
 
-Played play(const Scenario& scenario, const Plan& plan, const PlayOptions& options) {
+ScenarioResult run_scenario(const Scenario& scenario, const Plan& plan, const ScenarioOptions& options) {
   return Play(scenario, plan, options).run();
 }
 
--- a/lab/scenario_runner.h
+++ b/lab/scenario_runner.h
@@ -9,7 +9,7 @@
 
 namespace turntally::lab {
 
-struct PlayOptions {
+struct ScenarioOptions {
   std::string relay;   // the program
   std::string folder;  // of the run; it exists and is empty
   std::string level = "info";
@@ -23,7 +23,7 @@
   double most_s = 0;
 };
 
-struct Played {
+struct ScenarioResult {
   History history;
   Lateness late;       // the lab's own: arrivals, and a timer beside them
   double seconds = 0;  // that it took
@@ -38,6 +38,6 @@
 };
 
 // Throws an error of errors.h where a run cannot be set up; what goes wrong in it is in its history.
-Played play(const Scenario& scenario, const Plan& plan, const PlayOptions& options);
+ScenarioResult run_scenario(const Scenario& scenario, const Plan& plan, const ScenarioOptions& options);
 
 }  // namespace turntally::lab
--- a/lab/simulated_fleet.cpp
+++ b/lab/simulated_fleet.cpp
@@ -37,7 +37,7 @@
   return {address(block_, 2, host), static_cast<uint16_t>(port)};
 }
 
-World::World(boost::asio::io_context& context, const Scenario& what, const Plan& drawn)
+SimulatedFleet::SimulatedFleet(boost::asio::io_context& context, const Scenario& what, const Plan& drawn)
     : io(context), scenario(what), plan(drawn), block_(context) {
   for (size_t r = 0; r < plan.receivers.size(); ++r) {
     first_.push_back(places_.size());
@@ -68,21 +68,21 @@
   }
 }
 
-tcp::endpoint World::control_address(int relay, int generation) const {
+tcp::endpoint SimulatedFleet::control_address(int relay, int generation) const {
   return {block_.of(Block::kRelay, relay), static_cast<uint16_t>(6400 + generation % 100)};
 }
 
-int World::relay_of(const tcp::endpoint& peer) const {
+int SimulatedFleet::relay_of(const tcp::endpoint& peer) const {
   const auto it = relays_.find(peer.address());
   return it == relays_.end() ? -1 : it->second;
 }
 
-void World::note(Event event) {
+void SimulatedFleet::note(Event event) {
   event.at = now();
   history.events.push_back(std::move(event));
 }
 
-int World::hand_in(HandIn message) {
+int SimulatedFleet::hand_in(HandIn message) {
   const int number = static_cast<int>(history.messages.size());
   if (message.first < 0) message.first = number;
   numbers_[message.id] = number;
@@ -90,7 +90,7 @@
   return number;
 }
 
-int World::find(const std::string& id) const {
+int SimulatedFleet::find(const std::string& id) const {
   const auto it = numbers_.find(id);
   return it == numbers_.end() ? -1 : it->second;
 }
--- a/lab/simulated_fleet.h
+++ b/lab/simulated_fleet.h
@@ -30,9 +30,9 @@
   int block_ = 0;
 };
 
-class World {
+class SimulatedFleet {
  public:
-  World(boost::asio::io_context& io, const Scenario& scenario, const Plan& plan);
+  SimulatedFleet(boost::asio::io_context& io, const Scenario& scenario, const Plan& plan);
 
   double now() const { return static_cast<double>(net::steady_now() - start_) / 1e6; }
   void begin(net::Time at) { start_ = at; }  // when the first second starts
--- a/lab/test_environment.h
+++ b/lab/test_environment.h
@@ -15,15 +15,15 @@
 
 namespace turntally::lab {
 
-class Stage {
+class TestEnvironment {
  public:
-  explicit Stage(const std::string& folder);
+  explicit TestEnvironment(const std::string& folder);
 
   boost::asio::io_context& io() { return io_; }
   void begin() { begun_ = net::steady_now(); }  // times count from here
   double now() const { return static_cast<double>(net::steady_now() - begun_) / 1e6; }
   void after(double seconds, std::function<void()> what);
-  void note(const std::string& what, const nlohmann::json& more = nlohmann::json::object());
+  void record(const std::string& what, const nlohmann::json& more = nlohmann::json::object());
   boost::asio::ip::address_v4 address(int host) const;
 
   // Both run the loop meanwhile. `await` throws NotReady.
--- a/lease/lease_calls.cpp
+++ b/lease/lease_calls.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-class Calls::Attempt : public std::enable_shared_from_this<Attempt> {
+class RegistryCaller::Attempt : public std::enable_shared_from_this<Attempt> {
  public:
   Attempt(const std::shared_ptr<Shared>& shared, net::HttpCall call, Done done)
       : shared_(shared),
@@ -87,13 +87,14 @@
   std::optional<net::HttpReply> last_;
 };
 
-Calls::Calls(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members, uint64_t seed)
+RegistryCaller::RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members,
+                               uint64_t seed)
     : shared_(std::make_shared<Shared>(Shared{io, std::move(members), {}, 0})) {
   net::Random(seed, 11).shuffle(shared_->members);
   shared_->at = shared_->members[shared_->next++];
 }
 
-void Calls::call(net::HttpCall call, Done done) {
+void RegistryCaller::call(net::HttpCall call, Done done) {
   std::make_shared<Attempt>(shared_, std::move(call), std::move(done))->ask();
 }
 
--- a/lease/lease_calls.h
+++ b/lease/lease_calls.h
@@ -14,11 +14,11 @@
 
 namespace turntally::lease {
 
-class Calls {
+class RegistryCaller {
  public:
   using Done = std::function<void(std::optional<net::HttpReply>)>;
 
-  Calls(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members, uint64_t seed);
+  RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members, uint64_t seed);
 
   // A member that takes half of `call.timeout` is left for the next one: it may be stopped. `done` is called
   // once: with an answer other than 503, or when `call.timeout` is over with the last 503, or with nothing;
--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -19,13 +19,13 @@
 constexpr Time kLongestWait = 1'000'000;  // the timer's clock stands still while the machine sleeps
 constexpr milliseconds kRecord{2000};
 
-const char* name_of(Ask::Kind kind) {
+const char* name_of(LeaseRequest::Kind kind) {
   switch (kind) {
-    case Ask::Kind::kCampaign:
+    case LeaseRequest::Kind::kCampaign:
       return "campaign";
-    case Ask::Kind::kRenew:
+    case LeaseRequest::Kind::kRenew:
       return "renew";
-    case Ask::Kind::kRelease:
+    case LeaseRequest::Kind::kRelease:
       return "release";
   }
   return "";
@@ -39,23 +39,23 @@
 }
 
 // An answer that says anything else than it should is none.
-Reply parsed(const std::optional<net::HttpReply>& reply, size_t& place) {
-  Reply out;
+LeaseReply parsed(const std::optional<net::HttpReply>& reply, size_t& place) {
+  LeaseReply out;
   if (!reply) return out;
   try {
     const json body = body_of(*reply);
     const std::string code = body.value("code", "");
     if (reply->status == 200) {
       out.token = body.at("token");
-      out.asked_back = body.value("asked_back", false);
-      out.record = body.value("record", "");
+      out.release_requested = body.value("asked_back", false);
+      out.checkpoint = body.value("record", "");
       place = body.value("place", size_t{0});
-      out.kind = body.at("outcome") == "waits" ? Reply::Kind::kWaits : Reply::Kind::kHeld;
+      out.kind = body.at("outcome") == "waits" ? LeaseReply::Kind::kQueued : LeaseReply::Kind::kGranted;
     } else if (code == "lease_fenced" || code == "lease_unknown") {  // either way it holds nothing
-      out.kind = Reply::Kind::kFenced;
+      out.kind = LeaseReply::Kind::kFenced;
     } else if (code == "lease_refused") {
-      out.wait = body.value("wait_ms", Time{0}) * 1000;
-      out.kind = Reply::Kind::kRefused;
+      out.retry_after = body.value("wait_ms", Time{0}) * 1000;
+      out.kind = LeaseReply::Kind::kRefused;
     }
   } catch (const json::exception&) {
     return {};
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-Shell::Shell(boost::asio::io_context& io, const ShellSettings& settings, Listener listener)
+LeaseClient::LeaseClient(boost::asio::io_context& io, const LeaseClientSettings& settings, Listener listener)
     : io_(io),
       settings_(settings),
       listener_(std::move(listener)),
@@ -74,9 +74,9 @@
       timer_(io),
       closing_(io) {}
 
-Shell::~Shell() { *alive_ = false; }
+LeaseClient::~LeaseClient() { *alive_ = false; }
 
-Time Shell::now() const {
+Time LeaseClient::now() const {
   timespec at{};
   ::clock_gettime(CLOCK_BOOTTIME, &at);
   const Time true_time = static_cast<Time>(at.tv_sec) * 1'000'000 + at.tv_nsec / 1000;
@@ -84,17 +84,19 @@
                                    : static_cast<Time>(static_cast<double>(true_time) * settings_.clock_rate);
 }
 
-milliseconds Shell::left() const { return held() ? in_ms(holder_.held_until() - now()) : milliseconds(0); }
+milliseconds LeaseClient::left() const {
+  return is_held() ? in_ms(holder_.held_until() - now()) : milliseconds(0);
+}
 
-void Shell::start() { take(holder_.start(now())); }
+void LeaseClient::start() { take(holder_.start(now())); }
 
-void Shell::give_back() {
+void LeaseClient::release() {
   deliver([this] {
-    if (!ends_) take(holder_.done(now()));
+    if (!ends_) take(holder_.release(now()));
   });
 }
 
-void Shell::close(std::function<void()> closed) {
+void LeaseClient::close(std::function<void()> closed) {
   if (ends_) return;
   ends_ = true;
   closed_ = std::move(closed);
@@ -105,35 +107,35 @@
   take(holder_.close(now()));
 }
 
-void Shell::say_closed() {
+void LeaseClient::say_closed() {
   closing_.cancel();
   if (const auto closed = std::exchange(closed_, nullptr)) closed();
 }
 
-void Shell::deliver(std::function<void()> event) {
+void LeaseClient::deliver(std::function<void()> event) {
   boost::asio::post(io_, [alive = alive_, event = std::move(event)] {
     if (*alive) event();
   });
 }
 
-void Shell::take(const std::vector<Action>& actions) {
+void LeaseClient::take(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
-    if (const auto* ask = std::get_if<Ask>(&action)) {
+    if (const auto* ask = std::get_if<LeaseRequest>(&action)) {
       send(*ask);
-    } else if (const auto* begin = std::get_if<Begin>(&action)) {
+    } else if (const auto* begin = std::get_if<LeaseAcquired>(&action)) {
       told_back_ = false;
-      deliver([this, begin = *begin] { listener_.begin(begin.token, begin.record); });
-    } else if (const auto* stop = std::get_if<Stop>(&action)) {
-      deliver([this, why = stop->why] { listener_.stop(why); });
+      deliver([this, begin = *begin] { listener_.begin(begin.token, begin.checkpoint); });
+    } else if (const auto* stop = std::get_if<LeaseLost>(&action)) {
+      deliver([this, why = stop->reason] { listener_.stop(why); });
     }
   }
-  if (holder_.asked_back() && !std::exchange(told_back_, true)) {
+  if (holder_.release_requested() && !std::exchange(told_back_, true)) {
     deliver([this] { listener_.asked_back(); });
   }
   wait();
 }
 
-void Shell::wait() {
+void LeaseClient::wait() {
   if (holder_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to give back
     timer_.cancel();
     return deliver([this] { say_closed(); });
@@ -146,10 +148,10 @@
   });
 }
 
-void Shell::send(const Ask& ask) {
+void LeaseClient::send(const LeaseRequest& ask) {
   json body = {{"call", name_of(ask.kind)}, {"holder", settings_.holder.holder}};
-  if (ask.kind == Ask::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
-  if (ask.kind != Ask::Kind::kCampaign) body["token"] = ask.token;
+  if (ask.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
+  if (ask.kind != LeaseRequest::Kind::kCampaign) body["token"] = ask.token;
   calls_.call(
       {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), in_ms(settings_.holder.answer)},
       [this, number = ask.number](const std::optional<net::HttpReply>& reply) {
@@ -160,7 +162,7 @@
 }
 
 // Said once, until something else is said: a call that is refused is asked again all the time.
-void Shell::note(const std::optional<net::HttpReply>& reply) {
+void LeaseClient::note(const std::optional<net::HttpReply>& reply) {
   std::string what = reply ? "" : "no member of the registry answers in time";
   if (reply && reply->status != 200) {
     const json body = body_of(*reply);
@@ -173,17 +175,17 @@
   if (!what.empty()) net::log::warn("lease_not_answered", "lease", settings_.holder.name, "why", what);
 }
 
-void Shell::record(const std::string& text, std::function<void(Recorded)> done) {
+void LeaseClient::save_checkpoint(const std::string& text, std::function<void(CheckpointResult)> done) {
   const json body = {
       {"call", "record"}, {"holder", settings_.holder.holder}, {"token", token()}, {"record", text}};
-  calls_.call(
-      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), std::min(kRecord, left())},
-      [done = std::move(done)](const std::optional<net::HttpReply>& reply) {
-        if (!reply) return done(Recorded::kFailed);
-        if (reply->status == 200) return done(Recorded::kDone);
-        const std::string code = body_of(*reply).value("code", "");
-        done(code == "lease_fenced" || code == "lease_unknown" ? Recorded::kFenced : Recorded::kFailed);
-      });
+  calls_.call({"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), std::min(kRecord, left())},
+              [done = std::move(done)](const std::optional<net::HttpReply>& reply) {
+                if (!reply) return done(CheckpointResult::kFailed);
+                if (reply->status == 200) return done(CheckpointResult::kDone);
+                const std::string code = body_of(*reply).value("code", "");
+                done(code == "lease_fenced" || code == "lease_unknown" ? CheckpointResult::kFenced
+                                                                       : CheckpointResult::kFailed);
+              });
 }
 
 }  // namespace turntally::lease
--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -21,7 +21,7 @@
 using Token = uint64_t;  // 0: none
 using Time = int64_t;    // microseconds of a clock that never goes back
 
-struct HolderSettings {
+struct LeaseSettings {
   std::string name;    // of the lease
   std::string holder;  // of this process, new with each start
   Time ttl = 3'000'000;
@@ -37,64 +37,64 @@
 };
 
 // What to send. `number` names the call: an answer says which it is for.
-struct Ask {
+struct LeaseRequest {
   enum class Kind { kCampaign, kRenew, kRelease };
   Kind kind = Kind::kCampaign;
   uint64_t number = 0;
   Token token = 0;
 };
 // From here on acts may begin, with this token; `record` is what the holders before have left.
-struct Begin {
+struct LeaseAcquired {
   Token token = 0;
-  std::string record;
+  std::string checkpoint;
 };
 // Nothing may begin any more; what is out should be cut short. `why`: "margin", "fenced", "released",
 // "closed".
-struct Stop {
+struct LeaseLost {
   Token token = 0;
-  std::string why;
+  std::string reason;
 };
-using Action = std::variant<Ask, Begin, Stop>;
+using Action = std::variant<LeaseRequest, LeaseAcquired, LeaseLost>;
 
-struct Reply {
+struct LeaseReply {
   enum class Kind {
-    kHeld,
-    kWaits,
+    kGranted,
+    kQueued,
     kFenced,
     kRefused,
     kFailed
   };  // kFailed: no answer, or none that says which
   Kind kind = Kind::kFailed;
   Token token = 0;
-  bool asked_back = false;
-  std::string record;
-  Time wait = 0;  // kRefused: not before that
+  bool release_requested = false;
+  std::string checkpoint;
+  Time retry_after = 0;  // kRefused: not before that
 };
 
-class Holder {
+class LeaseState {
  public:
-  explicit Holder(HolderSettings settings);
+  explicit LeaseState(LeaseSettings settings);
 
   // Events. Each returns what to do, in order. Times never go back.
   std::vector<Action> start(Time now);  // campaign from now on
   std::vector<Action> answered(Time now, uint64_t number,
-                               const Reply&);  // late, doubled and unknown ones as well
+                               const LeaseReply&);  // late, doubled and unknown ones as well
   std::vector<Action> tick(Time now);
-  std::vector<Action> done(Time now);   // after asked_back(): nothing is out any more, the lease may go
-  std::vector<Action> close(Time now);  // give it back, and campaign no more
+  std::vector<Action> release(Time now);  // after asked_back(): nothing is out any more, the lease may go
+  std::vector<Action> close(Time now);    // give it back, and campaign no more
 
   // Whether an act may begin now. Asked right before each act; says no without a tick.
-  bool held(Time now) const;
-  Time held_until() const;  // by this process's clock; 0: not held
-  Token token() const;      // of the grant that is held; 0: none
-  bool asked_back() const;  // somebody else is to have it: end soon, then done()
+  bool is_held(Time now) const;
+  Time held_until() const;         // by this process's clock; 0: not held
+  Token token() const;             // of the grant that is held; 0: none
+  bool release_requested() const;  // somebody else is to have it: end soon, then done()
   // When tick() is wanted, at the latest; the greatest Time where nothing is to be done any more, so after
   // close() that the lease has been given back or has lapsed.
   Time next() const;
 
  private:
   struct Out {
-    Ask ask;
+    LeaseRequest ask;
     Time sent = 0;
   };
   // The lease, or without a token the place in line, is to go back: asked for until that is answered, or
@@ -104,9 +104,9 @@
     Time until = 0;
   };
   std::vector<Action> step(Time now);
-  void send(Time now, Ask::Kind kind, std::vector<Action>& out);
-  void extend(Time now, Time sent, const Reply& reply);
-  void later(Time now, const Reply& reply);
+  void send(Time now, LeaseRequest::Kind kind, std::vector<Action>& out);
+  void extend(Time now, Time sent, const LeaseReply& reply);
+  void later(Time now, const LeaseReply& reply);
   void lose(Time now, const char* why, std::vector<Action>& out);
   void leave(Time now, Token token);
   void give_back(Time now, const char* why, std::vector<Action>& out);
@@ -114,7 +114,7 @@
   Time between_asks();
   Time pause();
 
-  HolderSettings settings_;
+  LeaseSettings settings_;
   net::Random random_;
   bool wanted_ = false;
   bool asked_back_ = false;
--- a/net/json_splitter.cpp
+++ b/net/json_splitter.cpp
@@ -4,7 +4,7 @@
 
 namespace turntally::net {
 
-std::string Texts::take(size_t end) {
+std::string JsonSplitter::take(size_t end) {
   const size_t begin = begin_ == std::string::npos ? end : begin_;
   std::string out = held_.substr(begin, end - begin);
   done_ = at_;
@@ -14,7 +14,7 @@
   return out;
 }
 
-std::optional<std::string> Texts::next() {
+std::optional<std::string> JsonSplitter::next() {
   while (at_ < held_.size()) {
     const char c = held_[at_++];
     const bool blank = c == ' ' || c == '\t' || c == '\r' || c == '\n';
--- a/net/json_splitter.h
+++ b/net/json_splitter.h
@@ -10,7 +10,7 @@
 
 namespace turntally::net {
 
-class Texts {
+class JsonSplitter {
  public:
   void add(const std::string& bytes) { held_ += bytes; }
   // The next whole text, without its line's end; an empty one for an empty line between texts. A line that
--- a/net/lines.h
+++ b/net/lines.h
@@ -53,7 +53,7 @@
   boost::beast::http::request<boost::beast::http::empty_body> request_;
   boost::beast::flat_buffer buffer_;
   boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
-  Texts texts_;
+  JsonSplitter texts_;
   std::chrono::steady_clock::time_point whole_;  // when the last text ended, or none had begun
 };
 
--- a/policy/policy.cpp
+++ b/policy/policy.cpp
@@ -162,7 +162,7 @@
 };
 
 struct Message {
-  Arrival in;           // its attempts, and whether one may have run, are counted on
+  MessageArrived in;    // its attempts, and whether one may have run, are counted on
   ClassSettings rules;  // as they were when it came
   int most_attempts = 0;
   Time target = 0;  // until then it earns its full worth
@@ -177,7 +177,7 @@
 // What the rules tie to a destination: all its endpoints, or one where routes are apart.
 using LaneKey = std::pair<int, Endpoint>;  // a destination; and an endpoint where routes are apart
 
-struct Lane : DestinationMemory {  // its wait, and its outage with the own served rate before it
+struct Lane : DestinationState {  // its wait, and its outage with the own served rate before it
   LaneKey key;
   double limit = 0;   // calls a second from all relays together; 0: unknown or none
   double pace = 0;    // own sends a second at most; 0: never refused
@@ -203,7 +203,7 @@
 };
 
 struct Host {
-  Member member;
+  EndpointInfo member;
   Lane* lane = nullptr;
   bool suspended = false;  // by hand
   Time back_since = 0;     // when it was put back; 0: long ago
@@ -236,7 +236,7 @@
   int cap = 0;     // of the retry bucket, in parts
   int tokens = 0;  // in it
   int calls = 0;
-  DestinationMemory remembered;
+  DestinationState remembered;
   Latency usual;  // the pace without outliers, against which the slot share narrows
   Latency latency;
 };
@@ -271,8 +271,8 @@
     return static_cast<size_t>(std::count_if(hosts_.begin(), hosts_.end(), [now](const auto& entry) {
       const Host& h = entry.second;
       const bool out = h.suspended && !h.gone();
-      return out ||
-             (h.ready() && (h.avoid_until > now || (h.lane->out_since != 0 && h.lane->back_since == 0)));
+      return out || (h.ready() &&
+                     (h.avoid_until > now || (h.lane->outage_since != 0 && h.lane->recovering_since == 0)));
     }));
   }
 
@@ -282,7 +282,7 @@
     if (settings.tenants != set_.tenants) tenant_pacers_.clear();
     set_ = std::move(settings);
     longest_ = kSecond;
-    for (const ClassSettings& c : set_.classes) longest_ = std::max(longest_, c.give_up);
+    for (const ClassSettings& c : set_.classes) longest_ = std::max(longest_, c.max_lifetime);
   }
 
   static int zone_now(const std::vector<int>& zones, int before) {
@@ -292,31 +292,32 @@
 
   void fold(const SettingsChanged& e) {
     take(*e.settings);
-    for (auto& [id, message] : messages_) message.in.ran_zone = zone_now(e.zones, message.in.ran_zone);
-    for (const auto& [endpoint, host] : hosts_) admit(Member(host.member));
+    for (auto& [id, message] : messages_)
+      message.in.possibly_run_zone = zone_now(e.zones, message.in.possibly_run_zone);
+    for (const auto& [endpoint, host] : hosts_) admit(EndpointInfo(host.member));
   }
 
   // ---- Health, priors and connections ----
 
-  void fold(const MembersChanged& e) {
-    if (e.form == MembersChanged::Form::kFailed) {
+  void fold(const EndpointListChanged& e) {
+    if (e.form == EndpointListChanged::Form::kFailed) {
       watching_ = false;
       watch_at_ = now_ + watch_pause_;
-      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, set_.ask_every / 2));
+      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, set_.list_poll_interval / 2));
       return;
     }
     if (watching_) watch_pause_ = kSecond / 4;
-    if (e.form == MembersChanged::Form::kFull) {
+    if (e.form == EndpointListChanged::Form::kFull) {
       for (auto& [id, host] : hosts_) {
         host.member.listing = Listing::kGone;
         leaving_.insert(id);
       }
     }
-    if (!e.members) return;
-    for (const Member& m : *e.members) admit(m);
+    if (!e.endpoints) return;
+    for (const EndpointInfo& m : *e.endpoints) admit(m);
   }
 
-  void admit(const Member& m) {
+  void admit(const EndpointInfo& m) {
     const auto [place, unheard] = hosts_.try_emplace(m.endpoint);
     Host& host = place->second;
     if (unheard) host.lot = seconds(random_.between(0, kSecond));
@@ -334,19 +335,19 @@
     }
   }
 
-  void fold(const Suspended& e) {
+  void fold(const EndpointSuspended& e) {
     const auto found = hosts_.find(e.endpoint);
-    if (found == hosts_.end() || found->second.suspended == e.out) return;
+    if (found == hosts_.end() || found->second.suspended == e.suspended) return;
     Host& host = found->second;
-    host.suspended = e.out;
-    if (e.out) {
+    host.suspended = e.suspended;
+    if (e.suspended) {
       host.base = pooled_rate(*host.lane) / static_cast<double>(ready(*host.lane) + (host.ready() ? 0 : 1));
     } else {
       host.back_since = now_;
       host.cold = {seconds(random_.between(0, kSecond)), now_};
       host.avoid_until = 0;
     }
-    admit(Member(host.member));
+    admit(EndpointInfo(host.member));
   }
 
   // What is gone and has nothing out is of no use any more. Guards against growth: ids are ever new.
@@ -365,7 +366,7 @@
     });
   }
 
-  void fold(const Arrival& e) {
+  void fold(const MessageArrived& e) {
     if (e.message_class < 0 || e.message_class >= static_cast<int>(set_.classes.size())) {
       throw std::invalid_argument("unknown class of message " + std::to_string(e.id));
     }
@@ -374,23 +375,23 @@
     Message& m = messages_[e.id];
     m.in = e;
     m.rules = set_.classes[e.message_class];
-    m.most_attempts = e.most_attempts > 0 ? e.most_attempts : set_.max_attempts;
+    m.most_attempts = e.max_attempts > 0 ? e.max_attempts : set_.max_attempts;
     const ClassSettings& c = m.rules;
-    m.target = e.due - c.give_up + c.target;
-    m.worth = c.worth * tenant_share(e.tenant);
+    m.target = e.deadline - c.max_lifetime + c.latency_objective;
+    m.worth = c.priority_weight * tenant_share(e.tenant);
     m.repeat = e.attempts > 0;
-    m.resumed_ran = e.ran;
-    if (c.in_order && e.key != 0) {
-      auto& turn = turns_[e.key];
-      turn.insert(e.ahead_of_key ? turn.begin() : turn.end(), e.id);
+    m.resumed_ran = e.may_have_run;
+    if (c.in_order && e.ordering_key != 0) {
+      auto& turn = turns_[e.ordering_key];
+      turn.insert(e.ahead_in_order ? turn.begin() : turn.end(), e.id);
     }
-    if (e.out) resume_out(m);
+    if (e.in_flight) resume_out(m);
   }
 
   // Its call holds a slot and weighs on its host, whoever made it.
   void resume_out(Message& m) {
-    Host& host = hosts_.at(m.in.out->endpoint);
-    const uint64_t number = kElsewhere | m.in.out->call;
+    Host& host = hosts_.at(m.in.in_flight->endpoint);
+    const uint64_t number = kElsewhere | m.in.in_flight->call;
     const auto [call, fresh] = calls_.try_emplace(number);
     ++call->second.left;
     if (fresh) {
@@ -399,23 +400,23 @@
     }
     m.out = true;
     m.repeat = false;
-    attempts_[{m.in.id, m.in.attempts - 1}] = {host.member.endpoint, m.in.out->sent, number};
+    attempts_[{m.in.id, m.in.attempts - 1}] = {host.member.endpoint, m.in.in_flight->sent, number};
   }
 
   // What a tenant sends beyond its quota is worth little; this relay's part of it is taken as an even one.
   double tenant_share(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(set_.tenants.size())) return 1;
-    const double quota = set_.tenants[tenant].quota_per_s / set_.relays;
+    const double quota = set_.tenants[tenant].quota_per_s / set_.relay_count;
     if (quota <= 0) return 1;
     const double burst = kQuotaSpan * quota + kQuotaChance * std::sqrt(kQuotaSpan * quota);
     Pacer& pacer = tenant_pacers_.try_emplace(tenant, Pacer{burst, now_}).first->second;
-    if (pacer.next(now_, quota, std::max(1.0, burst)) > now_) return set_.over_share_worth;
+    if (pacer.next(now_, quota, std::max(1.0, burst)) > now_) return set_.over_quota_weight_share;
     pacer.tokens -= 1;
     return 1;
   }
 
   // Nothing is owed for it any more, but while its call is out it keeps its turn.
-  void fold(const Withdrawn& e) {
+  void fold(const MessageWithdrawn& e) {
     const auto it = messages_.find(e.id);
     if (it == messages_.end()) return;
     it->second.withdrawn = true;
@@ -424,22 +425,22 @@
   void fold(const TimerFired& e) {
     if (static_cast<Time>(e.token) == armed_) armed_ = kNever;
   }
-  void fold(const PeerNote&) {}
-  void fold(const DestinationMemory& e) {
+  void fold(const GossipReceived&) {}
+  void fold(const DestinationState& e) {
     Destination& d = destinations_[e.destination];
-    d.tokens = std::max(0, e.tokens);  // the list, with the cap, may come later
+    d.tokens = std::max(0, e.retry_tokens);  // the list, with the cap, may come later
     d.remembered = e;
-    if (e.out_since == 0 && e.wait_until == 0) return;
+    if (e.outage_since == 0 && e.wait_until == 0) return;
     const LaneKey key = {e.destination, Endpoint{}};
     Lane& l = lanes_[key];
     l.key = key;
-    static_cast<DestinationMemory&>(l) = e;
+    static_cast<DestinationState&>(l) = e;
     l.cold = {0, now_};
     watch(l);
   }
-  void fold(const Closing& e) { closing_ = e.at; }
+  void fold(const ShutdownScheduled& e) { closing_ = e.at; }
 
-  void fold(const ProbeEnded& e) {
+  void fold(const HealthCheckEnded& e) {
     const auto it = hosts_.find(e.endpoint);
     if (it == hosts_.end()) return;
     Lane& l = *it->second.lane;
@@ -468,8 +469,8 @@
     // The messages of a bundle share one fate: that is one piece of evidence, not one for each.
     if (e.outcome == Outcome::kOk) d.tokens = std::min(d.cap, d.tokens + 1);
     // At a wait's end all relays that were told come back: the random pause keeps them out of step.
-    const Time opens = now_ + e.wait + set_.tick;
-    if (e.wait > 0 && l.wait_until < opens) l.wait_until = opens + random_.between(0, kPauseMost);
+    const Time opens = now_ + e.retry_after + set_.tick;
+    if (e.retry_after > 0 && l.wait_until < opens) l.wait_until = opens + random_.between(0, kPauseMost);
     if (e.outcome == Outcome::kOk) l.served.add(now_);
     if (news) learn(e, attempt, host, l, d);
     if (host.calls == 0 && kinds_[d.kind].unconnected > kFullTable) close_idle(host);
@@ -478,19 +479,20 @@
     Message& m = found->second;
     m.out = false;
     const bool hanging = e.outcome == Outcome::kTimeout || e.outcome == Outcome::kReset ||
-                         e.outcome == Outcome::kCancelled || e.outcome == Outcome::kSpoilt;
-    if (m.rules.in_order && hanging) key_rests_[m.in.key] = {now_ + set_.order_pause, e.id, attempt.call};
+                         e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMalformedResponse;
+    if (m.rules.in_order && hanging)
+      key_rests_[m.in.ordering_key] = {now_ + set_.ordering_pause, e.id, attempt.call};
     if (e.final || m.withdrawn) return end(e.id);
-    const bool moot = e.outcome == Outcome::kMoot;
-    if (moot && e.began) return;
-    if (!e.began) ++m.most_attempts;  // no call was made: the message has this one still
+    const bool moot = e.outcome == Outcome::kNotStarted;
+    if (moot && e.call_started) return;
+    if (!e.call_started) ++m.most_attempts;  // no call was made: the message has this one still
     m.repeat = !moot;
     m.not_before = now_ + random_.between(kPauseLeast, kPauseMost);
-    const bool unseen = moot || e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed;
-    if (unseen || m.in.ran) return;
-    m.in.ran = true;
-    m.in.ran_sent = attempt.sent;
-    m.in.ran_zone = host.member.zone;
+    const bool unseen = moot || e.outcome == Outcome::kRejected || e.outcome == Outcome::kConnectFailed;
+    if (unseen || m.in.may_have_run) return;
+    m.in.may_have_run = true;
+    m.in.possibly_run_since = attempt.sent;
+    m.in.possibly_run_zone = host.member.zone;
   }
 
   void learn(const AttemptEnded& e, const Attempt& attempt, Host& host, Lane& l, Destination& d) {
@@ -498,34 +500,34 @@
     learn_idle(e.outcome, attempt, host, l);
     // Slow or lost: whether calls past the suspicious age are served after all.
     const bool told = e.outcome == Outcome::kOk || e.outcome == Outcome::kTimeout;
-    if (told && e.took > latency_of(d).suspicious()) {
+    if (told && e.latency > latency_of(d).suspicious()) {
       hope_ += 2 * kGain * ((e.outcome == Outcome::kOk ? 1 : 0) - hope_);
     }
     switch (e.outcome) {
       case Outcome::kOk:
-        host.latency.add(seconds(e.took));
-        kinds_[d.kind].latency.add(seconds(e.took));
-        learn_latency(d, e.took);
-        if (d.usual.seen == 0 || e.took < micros(4 * d.usual.mean)) d.usual.add(seconds(e.took));
+        host.latency.add(seconds(e.latency));
+        kinds_[d.kind].latency.add(seconds(e.latency));
+        learn_latency(d, e.latency);
+        if (d.usual.seen == 0 || e.latency < micros(4 * d.usual.mean)) d.usual.add(seconds(e.latency));
         host.fails = 0;
         host.avoid_until = 0;
         return served(attempt, l);
-      case Outcome::kFull:
+      case Outcome::kRejected:
         // The report says that the limit is used up: that explains the refusal, and the limit tells the pace.
-        if (e.wait <= kShutSpan && reported(e.report, set_.report_limit, 0) > 0 &&
-            reported(e.report, set_.report_left, 1) < kRoomLow) {
+        if (e.retry_after <= kShutSpan && reported(e.load_report, set_.report_limit_index, 0) > 0 &&
+            reported(e.load_report, set_.report_limit_remaining_index, 1) < kRoomLow) {
           l.pace = std::min(l.pace, kLimitCut * share(l));
           return restart_pacer(l);
         }
         narrow(attempt, l);
-        return unserved(attempt, l, false, e.wait);
+        return unserved(attempt, l, false, e.retry_after);
       case Outcome::kError:
       case Outcome::kReset:
       case Outcome::kTimeout:
       case Outcome::kConnectFailed:
         // Lost answers are no sign of slowness: a time-out teaches only where overdue calls are served.
         if (e.outcome == Outcome::kTimeout && hope_ > kHopeLeast && l.last_served_sent < attempt.sent) {
-          learn_latency(d, e.took);
+          learn_latency(d, e.latency);
         }
         if (e.outcome != Outcome::kError) {
           host.avoid_until = now_ + std::min(kAvoidMost, kAvoidLeast << std::min(host.fails++, 3));
@@ -545,15 +547,16 @@
 
   // A limit nearly used up makes its route dearer, so that routes with limits of their own are used evenly.
   void heed_report(const AttemptEnded& e, Lane& l) {
-    const double limit = reported(e.report, set_.report_limit, -1);
-    const double left = limit > 0 ? std::min(1.0, reported(e.report, set_.report_left, 1)) : 1;
+    const double limit = reported(e.load_report, set_.report_limit_index, -1);
+    const double left =
+        limit > 0 ? std::min(1.0, reported(e.load_report, set_.report_limit_remaining_index, 1)) : 1;
     if (limit == 0 && l.cut_at == 0) l.pace = 0;  // none
     if (limit > 0) {
       l.told = true;
       take_limit(l, limit);
       follow_room(l, left);
     }
-    if (e.outcome != Outcome::kOk && e.outcome != Outcome::kFull) return;
+    if (e.outcome != Outcome::kOk && e.outcome != Outcome::kRejected) return;
     l.room += 2 * kGain * ((e.outcome == Outcome::kOk ? left : 0) - l.room);
   }
 
@@ -571,11 +574,11 @@
   // The age up to which an idle connection is used.
   Time keep() const {
     const double grown = seconds(keep_) * std::exp2(seconds(now_ - keep_at_) / seconds(kKeepRegain));
-    return std::min(set_.conn_idle, micros(grown));
+    return std::min(set_.connection_idle_timeout, micros(grown));
   }
 
   void close_idle(Host& host) {
-    out_->push_back(CloseIdle{host.member.endpoint});
+    out_->push_back(CloseIdleConnections{host.member.endpoint});
     host.conns = 0;
   }
 
@@ -592,13 +595,13 @@
       host.lost_idle = attempt.idle;
     } else if (outcome == Outcome::kOk) {
       const int unconnected_calls = std::exchange(host.unconnected, 0);
-      const bool up = l.out_since == 0 && now_ - host.unconnected_since <= kProofSpan;
+      const bool up = l.outage_since == 0 && now_ - host.unconnected_since <= kProofSpan;
       if (up) unconnected += (1 - std::pow(1 - kGain, unconnected_calls)) * (1 - unconnected);
       unconnected *= 1 - kFullTable / 2;
       double& share = attempt.idle == 0 ? lost_ : stale_;
       share -= kGain * share;
       const Time idle = std::exchange(host.lost_idle, 0);
-      if (idle == 0 || l.out_since != 0) return;
+      if (idle == 0 || l.outage_since != 0) return;
       stale_ += kGain * (1 - stale_);
       if (stale_ < lost_ + kStaleAbove) return;
       keep_ = std::min(keep(), std::max(idle / kKeepCut, set_.tick));
@@ -617,12 +620,12 @@
     if (l.bound) l.pace += kLimitGain * l.pace;
     if (l.limit > 0) l.pace = std::min(l.pace, std::min(l.limit, kShareMost * share(l)));
     l.bound = false;
-    if (l.out_since == 0) return;
-    if (l.suspected && attempt.sent <= l.out_since) {  // the overdue calls were only slow
+    if (l.outage_since == 0) return;
+    if (l.suspected && attempt.sent <= l.outage_since) {  // the overdue calls were only slow
       log(l, "only slow");
-      l.out_since = 0;
-    } else if (l.back_since == 0 && attempt.sent > l.out_since) {
-      l.back_since = now_;
+      l.outage_since = 0;
+    } else if (l.recovering_since == 0 && attempt.sent > l.outage_since) {
+      l.recovering_since = now_;
       l.suspected = false;
       log(l, "back, cold");
     }
@@ -639,14 +642,14 @@
       l.suspected = false;
     }
     // Failures after the return start the ramp again; answers to calls from before it tell nothing new.
-    if (l.back_since != 0 && hard && l.streak >= kAgainStreak && attempt.sent > l.back_since) {
-      l.back_since = 0;
+    if (l.recovering_since != 0 && hard && l.streak >= kAgainStreak && attempt.sent > l.recovering_since) {
+      l.recovering_since = 0;
       log(l, "fails again");
     }
     // A wait longer than a limit's span tells when a shut destination opens: its return begins there.
-    if (l.out_since == 0 && wait > kShutSpan) {
+    if (l.outage_since == 0 && wait > kShutSpan) {
       go_out(l, "told to wait long", false);
-      l.back_since = l.cold.at = l.wait_until;
+      l.recovering_since = l.cold.at = l.wait_until;
     }
   }
 
@@ -655,14 +658,14 @@
   }
 
   void go_out(Lane& l, const char* evidence, bool suspected) {
-    l.base = pooled_rate(l);
-    l.out_since = now_;
-    l.back_since = 0;
+    l.rate_before_outage = pooled_rate(l);
+    l.outage_since = now_;
+    l.recovering_since = 0;
     l.suspected = suspected;
     l.cold = {seconds(random_.between(0, kSecond)), now_};
     l.probe_ok = false;
     log(l, std::string("outage, ") + evidence +
-               "; served before: " + std::to_string(std::lround(60 * l.base)) + " a minute");
+               "; served before: " + std::to_string(std::lround(60 * l.rate_before_outage)) + " a minute");
   }
 
   // A hang gives no outcomes: calls past the suspicious age, with nothing served since, are evidence too.
@@ -681,10 +684,10 @@
     std::erase_if(watched_, [&](const auto& entry) {
       Lane& l = *entry.second;
       const int late = overdue[&l];
-      if (l.out_since != 0) {
-        if (l.back_since == 0 || now_ - l.back_since < set_.cold) return false;
+      if (l.outage_since != 0) {
+        if (l.recovering_since == 0 || now_ - l.recovering_since < set_.slow_start_duration) return false;
         log(l, "warm");
-        l.out_since = 0;
+        l.outage_since = 0;
         return false;
       }
       const Time span = now_ - l.streak_since;
@@ -709,8 +712,9 @@
 
   // ---- Guards ----
 
-  Lane& lane_of(const Member& m) {
-    const bool apart = m.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[m.kind].apart;
+  Lane& lane_of(const EndpointInfo& m) {
+    const bool apart =
+        m.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[m.kind].independent_endpoints;
     const LaneKey key = {m.destination, apart ? m.endpoint : Endpoint{}};
     Lane& l = lanes_[key];
     l.key = key;
@@ -721,14 +725,14 @@
 
   // Own served rate; for a rare caller mostly the even part of the limit, which is worth one call as a prior.
   double pooled_rate(const Lane& l) const {
-    const double even = std::max(l.limit, kBaseLeast) / set_.relays;
+    const double even = std::max(l.limit, kBaseLeast) / set_.relay_count;
     const double memory = seconds(kRateMemory);
     const double seen = memory * (1 - std::exp(-std::max(1.0, seconds(now_ - started_)) / memory));
     return std::max(even, (l.served.per_second(now_) * memory + 1) / (seen + 1 / even));
   }
 
   // Own part of what the lane takes from all relays together.
-  double share(const Lane& l) const { return l.limit / set_.relays; }
+  double share(const Lane& l) const { return l.limit / set_.relay_count; }
 
   // When the limit moves the pace moves along. A relay of many seldom calls: it would be refused before it
   // learnt anything, and where refused calls use the limit up, one refusal for each relay is too many.
@@ -737,7 +741,7 @@
     l.pace *= moved;
     l.paced *= moved;
     l.limit = limit;
-    if (l.pace > 0 || set_.report_limit < 0) return;
+    if (l.pace > 0 || set_.report_limit_index < 0) return;
     l.pace = kShareFirst * share(l);
     l.pacer = {seconds(random_.between(0, kSecond)), now_};
     l.moved_at = now_;
@@ -777,26 +781,26 @@
   // An outage that rests on suspicion alone is not worth keeping.
   void remember() {
     for (auto& [number, d] : destinations_) {
-      DestinationMemory next;
+      DestinationState next;
       if (const auto lane = lanes_.find({number, Endpoint{}}); lane != lanes_.end()) {
         const Lane& l = lane->second;
-        if (l.out_since != 0 && !l.suspected) next = l;
+        if (l.outage_since != 0 && !l.suspected) next = l;
         next.wait_until = l.wait_until > now_ ? l.wait_until : 0;
       }
       next.destination = number;
-      next.tokens = d.tokens - d.tokens % kToken;
+      next.retry_tokens = d.tokens - d.tokens % kToken;
       if (next == d.remembered) continue;
       d.remembered = next;
-      out_->push_back(Remember{next});
+      out_->push_back(PersistDestinationState{next});
     }
   }
 
   // Whether one call of each relay is more than the lane takes when it comes back, chance included: too many
   // for each to look for itself, and to go on until its own third call fails.
   bool crowd(double base) const {
-    const double first = set_.fall_multiple * set_.start_capacity * seconds(set_.fall_window);
-    const double budget = first * base * set_.relays;
-    return set_.relays > budget + 2 * std::sqrt(budget) + 2;
+    const double first = set_.overload_factor * set_.initial_capacity_share * seconds(set_.overload_window);
+    const double budget = first * base * set_.relay_count;
+    return set_.relay_count > budget + 2 * std::sqrt(budget) + 2;
   }
 
   ptrdiff_t ready(const Lane& l) const {
@@ -808,24 +812,26 @@
 
   // Share of the relays that were handed a message for the lane in the outage, and so know of it.
   double knowing(const Lane& l) const {
-    const Time end = l.back_since == 0 ? now_ : l.back_since;
-    return std::max(1e-3, 1 - std::exp(-std::max(kHolders, seconds(end - l.out_since)) * l.base));
+    const Time end = l.recovering_since == 0 ? now_ : l.recovering_since;
+    return std::max(1e-3,
+                    1 - std::exp(-std::max(kHolders, seconds(end - l.outage_since)) * l.rate_before_outage));
   }
 
   // Share of its capacity that what came back has again.
   double warmth(Time back_since) const {
-    const double warm = set_.cold <= 0 ? 1 : seconds(now_ - back_since) / seconds(set_.cold);
-    return set_.start_capacity + (1 - set_.start_capacity) * std::clamp(warm, 0.0, 1.0);
+    const double warm =
+        set_.slow_start_duration <= 0 ? 1 : seconds(now_ - back_since) / seconds(set_.slow_start_duration);
+    return set_.initial_capacity_share + (1 - set_.initial_capacity_share) * std::clamp(warm, 0.0, 1.0);
   }
 
   // Own part of what an endpoint takes that was put back by hand.
   double cold_rate(const Host& host) const {
-    return host.base * kColdMargin * set_.fall_multiple * warmth(host.back_since);
+    return host.base * kColdMargin * set_.overload_factor * warmth(host.back_since);
   }
 
   // When an endpoint that was put back may be sent to.
   Time admits(Host& host) {
-    if (host.back_since != 0 && now_ - host.back_since >= set_.cold) host.back_since = 0;
+    if (host.back_since != 0 && now_ - host.back_since >= set_.slow_start_duration) host.back_since = 0;
     if (host.back_since == 0) return now_;
     return std::min(host.cold.next(now_, cold_rate(host), 1), now_ + kSecond);
   }
@@ -833,30 +839,30 @@
   // Own part of what a cold destination takes, beside the first calls of the relays that know of no outage.
   double cold_rate(const Lane& l) const {
     const double know = knowing(l);
-    return l.base * std::max(0.0, kColdMargin * set_.fall_multiple * warmth(l.back_since) - (1 - know)) /
-           know;
+    return l.rate_before_outage *
+           std::max(0.0, kColdMargin * set_.overload_factor * warmth(l.recovering_since) - (1 - know)) / know;
   }
 
   // Own part of the fleet's scouts. The relays that hold messages for the lane share them. What a crowd finds
   // up is cold: its scouts are a part of the first budget.
   double scout_rate(const Lane& l) const {
-    const bool many = crowd(l.base);
-    const double part = many ? kColdMargin * set_.fall_multiple * set_.start_capacity : kScoutPart;
-    const double least = many ? 1 / std::max(1.0, seconds(set_.fall_window)) : kScoutLeast;
-    return std::max(part * l.base, least / set_.relays) / knowing(l);
+    const bool many = crowd(l.rate_before_outage);
+    const double part = many ? kColdMargin * set_.overload_factor * set_.initial_capacity_share : kScoutPart;
+    const double least = many ? 1 / std::max(1.0, seconds(set_.overload_window)) : kScoutLeast;
+    return std::max(part * l.rate_before_outage, least / set_.relay_count) / knowing(l);
   }
 
   // When this lane may be sent to; kNever: only after some outcome.
   Time admits(Lane& l, const Message& m) {
     if (l.wait_until > now_) return l.wait_until;
-    if (l.out_since != 0) {
+    if (l.outage_since != 0) {
       // Without an answer to the last scout another tells little, and would fill the slots.
-      if (l.back_since == 0 && l.scouts > 0) return kNever;
-      const Time at = l.cold.next(now_, l.back_since == 0 ? scout_rate(l) : cold_rate(l), 1);
+      if (l.recovering_since == 0 && l.scouts > 0) return kNever;
+      const Time at = l.cold.next(now_, l.recovering_since == 0 ? scout_rate(l) : cold_rate(l), 1);
       if (at > now_) return std::min(at, now_ + kSecond);
     }
     if (l.pace <= 0) return now_;
-    const bool old = l.told && now_ > m.target - micros((1 - kOld) * seconds(m.rules.target));
+    const bool old = l.told && now_ > m.target - micros((1 - kOld) * seconds(m.rules.latency_objective));
     const double pace = old ? std::min(l.pace, (kShareOld + kShareRoom * l.left) * share(l)) : l.pace;
     const Time at = l.pacer.next(now_, pace, std::max(1.0, kLimitBurst * l.pace));
     l.bound = l.bound || at > now_;
@@ -866,10 +872,10 @@
   // Where probes are allowed one goes ahead of each scout: it costs no token, and no message that a hang
   // would end. Not trusted alone, as a probe may pass a hang by.
   bool may_scout(Lane& l, Host& host) {
-    if (l.out_since == 0 || l.back_since != 0 || !set_.may_probe) return true;
+    if (l.outage_since == 0 || l.recovering_since != 0 || !set_.health_checks_allowed) return true;
     if (std::exchange(l.probe_ok, false)) return true;
     if (!l.probe_out) {
-      out_->push_back(Probe{host.member.endpoint});
+      out_->push_back(SendHealthCheck{host.member.endpoint});
       l.probe_out = host.probe_out = true;
       l.cold.tokens -= 1;
       l.pacer.tokens -= 1;
@@ -882,10 +888,12 @@
   void end(uint64_t id, std::optional<Action> notice = {}) {
     const auto it = messages_.find(id);
     if (it == messages_.end()) return;
-    const Arrival& in = it->second.in;
-    if (it->second.rules.in_order && in.key != 0) {
-      if (auto& turn = turns_[in.key]; std::erase(turn, id) > 0 && turn.empty()) turns_.erase(in.key);
-      Time& until = std::get<0>(key_rests_[in.key]);  // the next call must not be there ahead of the notice
+    const MessageArrived& in = it->second.in;
+    if (it->second.rules.in_order && in.ordering_key != 0) {
+      if (auto& turn = turns_[in.ordering_key]; std::erase(turn, id) > 0 && turn.empty())
+        turns_.erase(in.ordering_key);
+      Time& until =
+          std::get<0>(key_rests_[in.ordering_key]);  // the next call must not be there ahead of the notice
       if (notice) until = std::max(until, now_ + kPauseMost);
     }
     if (notice) out_->push_back(*notice);
@@ -894,16 +902,18 @@
 
   bool refusable(const Message& m) const {
     const ClassSettings& c = m.rules;
-    if (c.effect == Effect::kSafe || !m.in.ran) return true;
+    if (c.idempotency == Idempotency::kIdempotent || !m.in.may_have_run) return true;
     if (m.resumed_ran) return false;  // its outcome is lost: a client's retry might outlast the key
-    return c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll;
+    return c.idempotency == Idempotency::kIdempotentWithKey &&
+           c.deduplication_scope == DeduplicationScope::kAll;
   }
 
   // Whether another attempt may ever be made.
   bool hopeless(const Message& m) const {
     const ClassSettings& c = m.rules;
-    const bool closed = c.effect == Effect::kKeyed && now_ >= window_end(m);
-    return m.in.attempts >= m.most_attempts || (m.in.ran && (c.effect == Effect::kUnsafe || closed));
+    const bool closed = c.idempotency == Idempotency::kIdempotentWithKey && now_ >= window_end(m);
+    return m.in.attempts >= m.most_attempts ||
+           (m.in.may_have_run && (c.idempotency == Idempotency::kNonIdempotent || closed));
   }
 
   // Whether every way to it is barred by told waits for as long as it lives.
@@ -919,10 +929,10 @@
 
   // The last moment at which the first byte of a repeat may be written.
   Time window_end(const Message& m) const {
-    return m.in.ran_sent + m.rules.key_window - set_.tick - kWindowMargin;
+    return m.in.possibly_run_since + m.rules.deduplication_window - set_.tick - kWindowMargin;
   }
 
-  Time last_moment(const Message& m) const { return m.in.due - 2 * set_.tick; }
+  Time last_moment(const Message& m) const { return m.in.deadline - 2 * set_.tick; }
 
   // When a client's retry has a chance again: after a told wait, an outage's next look, or a turn at the
   // pace. At random, so that what was turned away together does not come back together.
@@ -930,7 +940,7 @@
     Time soonest = kRetryMost;
     for (const auto& [endpoint, host] : by_destination_[m.in.destination]) {
       const Lane& l = *host->lane;
-      if (!host->ready() || (l.out_since != 0 && l.back_since == 0)) continue;
+      if (!host->ready() || (l.outage_since != 0 && l.recovering_since == 0)) continue;
       const Time turn = l.pace > 0 ? micros(1 / l.pace) : 0;
       soonest = std::min(soonest, std::max(l.wait_until - now_, turn));
     }
@@ -943,7 +953,7 @@
       const auto& [id, m] = *it++;  // what ends goes
       if (m.out) continue;
       if (hopeless(m) || now_ >= last_moment(m) || barred(m)) {
-        end(id, refusable(m) ? Action{Refuse{id, retry_after(m)}} : Action{Fail{id}});
+        end(id, refusable(m) ? Action{Reject{id, retry_after(m)}} : Action{Fail{id}});
       } else {
         wake(last_moment(m));
       }
@@ -952,7 +962,7 @@
 
   // Gives the least worth back when there is hardly room for more.
   void shed() {
-    const auto room = static_cast<size_t>(std::max(1.0, kShedAbove * set_.max_open));
+    const auto room = static_cast<size_t>(std::max(1.0, kShedAbove * set_.max_pending_messages));
     if (messages_.size() <= room) return;
     std::vector<std::pair<double, uint64_t>> least;
     for (const auto& [id, m] : messages_) {
@@ -961,7 +971,7 @@
     std::sort(least.begin(), least.end());
     for (const auto& [worth, id] : least) {
       if (messages_.size() <= room) break;
-      end(id, Refuse{id, retry_after(messages_.at(id))});
+      end(id, Reject{id, retry_after(messages_.at(id))});
     }
   }
 
@@ -970,16 +980,18 @@
   double worth_at(const Message& m, Time at) const {
     const ClassSettings& c = m.rules;
     if (at <= m.target) return m.worth;
-    if (at >= m.in.due) return 0;
+    if (at >= m.in.deadline) return 0;
     const double late = seconds(at - m.target);
-    if (set_.late_by_halves) return m.worth * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
-    return m.worth * (1 - (1 - c.late_worth) * late / std::max(1e-6, seconds(m.in.due - m.target)));
+    if (set_.late_weight_halves)
+      return m.worth * std::max(c.late_weight_share, std::exp2(-late / seconds(c.latency_objective)));
+    return m.worth *
+           (1 - (1 - c.late_weight_share) * late / std::max(1e-6, seconds(m.in.deadline - m.target)));
   }
 
   bool has_turn(const Message& m) {
-    if (!m.rules.in_order || m.in.key == 0) return true;
-    if (turns_[m.in.key].front() != m.in.id) return false;
-    const auto& [until, id, call] = key_rests_[m.in.key];
+    if (!m.rules.in_order || m.in.ordering_key == 0) return true;
+    if (turns_[m.in.ordering_key].front() != m.in.id) return false;
+    const auto& [until, id, call] = key_rests_[m.in.ordering_key];
     if (id == m.in.id || (until <= now_ && !calls_.contains(call))) return true;
     if (until > now_) wake(until);
     return false;
@@ -1005,7 +1017,7 @@
   int slot_share(const Destination& d) const {
     const double usual = d.usual.seen == 0 ? 1 : std::min(1.0, d.usual.mean / std::max(1e-6, d.latency.mean));
     const double share = std::max(kSlotShareLeast, kSlotShare * usual);
-    return std::max(1, static_cast<int>(std::ceil(set_.slots * share)));
+    return std::max(1, static_cast<int>(std::ceil(set_.max_concurrent_calls * share)));
   }
 
   void dispatch() {
@@ -1017,7 +1029,7 @@
         Message& m = messages_.at(std::get<2>(c));
         if (m.out) continue;  // went along in another message's call
         Destination& d = destinations_[m.in.destination];
-        if (static_cast<int>(calls_.size()) >= set_.slots) return free_slots();
+        if (static_cast<int>(calls_.size()) >= set_.max_concurrent_calls) return free_slots();
         if (bound && d.calls >= slot_share(d)) {
           left.push_back(c);
         } else {
@@ -1031,7 +1043,7 @@
   // Messages wait and no slot is free: stop waiting for overdue calls, once such calls proved lost, not slow.
   // Guards against lost answers filling the slots; harms where a destination has only now become slow.
   void free_slots() {
-    if (!set_.may_cancel || hope_ > kHopeLeast) return;
+    if (!set_.cancellation_allowed || hope_ > kHopeLeast) return;
     for (auto& [id, attempt] : attempts_) {
       const auto message = messages_.find(id.first);
       if (attempt.cancelled || message == messages_.end()) continue;
@@ -1051,14 +1063,14 @@
     start_call(d, *host);
     send(m, d, *host);
     const Lane& l = *host->lane;
-    if (l.out_since != 0 && l.back_since == 0) return;  // one message is scout enough
+    if (l.outage_since != 0 && l.recovering_since == 0) return;  // one message is scout enough
     // What goes to one endpoint in one round may share a call: one slot, one place under the limit, one fate.
     int room = batch_of(host->member) - 1;
-    const double credit = seconds(set_.fall_window) / 2;
-    const double debt = l.out_since == 0 ? 0 : credit * cold_rate(l);
+    const double credit = seconds(set_.overload_window) / 2;
+    const double debt = l.outage_since == 0 ? 0 : credit * cold_rate(l);
     const double own_debt = host->back_since == 0 ? 0 : credit * cold_rate(*host);
     for (const Candidate& c : waiting) {
-      if (room <= 0 || (l.out_since != 0 && l.cold.tokens < kBundleWork - debt)) return;
+      if (room <= 0 || (l.outage_since != 0 && l.cold.tokens < kBundleWork - debt)) return;
       if (host->back_since != 0 && host->cold.tokens < kBundleWork - own_debt) return;
       Message& other = messages_.at(std::get<2>(c));
       if (other.out || other.in.destination != m.in.destination) continue;
@@ -1068,15 +1080,15 @@
     }
   }
 
-  int batch_of(const Member& m) const {
-    return m.kind < static_cast<int>(set_.kinds.size()) ? set_.kinds[m.kind].batch : 1;
+  int batch_of(const EndpointInfo& m) const {
+    return m.kind < static_cast<int>(set_.kinds.size()) ? set_.kinds[m.kind].max_batch_size : 1;
   }
 
   // A keyed message that may have run stays with the endpoints that remember its key.
   bool in_scope(const Message& m, const Host& host) const {
     const ClassSettings& c = m.rules;
-    if (!m.in.ran || c.effect != Effect::kKeyed) return true;
-    return c.key_scope != KeyScope::kZone || host.member.zone == m.in.ran_zone;
+    if (!m.in.may_have_run || c.idempotency != Idempotency::kIdempotentWithKey) return true;
+    return c.deduplication_scope != DeduplicationScope::kZone || host.member.zone == m.in.possibly_run_zone;
   }
 
   Host* choose(const Message& m) {
@@ -1097,26 +1109,28 @@
   }
 
   bool needs_conn(const Host& host) {
-    return host.calls >= host.conns * set_.streams_per_conn || now_ - host.last_used > keep();
+    return host.calls >= host.conns * set_.streams_per_connection || now_ - host.last_used > keep();
   }
 
   double cost_of(const Host& host) {
     const Latency& latency =
         host.latency.seen > 0 ? host.latency : latency_of(destinations_[host.member.destination]);
     double cost = latency.mean * (1 + 0.5 * host.calls) / std::max(0.1, host.lane->room) + kLot * host.lot;
-    if (host.member.zone != set_.zone) cost += kSecondsPerPrice * set_.price_cross_zone;
-    if (needs_conn(host)) cost += kSecondsPerPrice * set_.price_handshake;
+    if (host.member.zone != set_.zone) cost += kSecondsPerPrice * set_.cost_cross_zone;
+    if (needs_conn(host)) cost += kSecondsPerPrice * set_.cost_handshake;
     if (host.avoid_until > now_) cost += seconds(kAvoidMost);
     return cost;
   }
 
-  double patience(const Message& m) const { return m.rules.effect == Effect::kUnsafe ? kUnsafeTimes : 1; }
+  double patience(const Message& m) const {
+    return m.rules.idempotency == Idempotency::kNonIdempotent ? kUnsafeTimes : 1;
+  }
 
   void start_call(Destination& d, Host& host) {
     idle_ = host.calls == 0 && !needs_conn(host) ? now_ - host.last_used : 0;
     if (needs_conn(host)) {
       if (host.calls == 0 && host.conns > 0) close_idle(host);
-      host.conns = host.calls / std::max(1, set_.streams_per_conn) + 1;
+      host.conns = host.calls / std::max(1, set_.streams_per_connection) + 1;
     }
     host.last_used = now_;
     calls_[++last_call_] = {};
@@ -1127,10 +1141,10 @@
 
   void send(Message& m, Destination& d, Host& host) {
     Lane& l = *host.lane;
-    const bool scout = l.out_since != 0 && l.back_since == 0;
+    const bool scout = l.outage_since != 0 && l.recovering_since == 0;
     l.scouts += scout;
     const double work = calls_[last_call_].left == 0 ? 1 : kBundleWork;
-    if (l.out_since != 0) l.cold.tokens -= work;
+    if (l.outage_since != 0) l.cold.tokens -= work;
     if (host.back_since != 0) host.cold.tokens -= work;
     if (m.repeat) d.tokens -= kToken;
     m.repeat = false;
@@ -1139,16 +1153,17 @@
     attempts_[{m.in.id, m.in.attempts++}] = {host.member.endpoint, now_, last_call_, false, scout, idle_};
     // No call keeps its slot for the whole life of its message: lost answers would fill the slots one by one.
     const double longest = std::max(1.0, kTimeoutTimes * seconds(latency_of(d).suspicious()));
-    Send out{m.in.id, host.member.endpoint, std::min(m.in.due - now_, micros(patience(m) * longest))};
-    const bool window = m.in.ran && m.rules.effect == Effect::kKeyed;
-    if (window) out.start_by = window_end(m);
+    SendAttempt out{m.in.id, host.member.endpoint,
+                    std::min(m.in.deadline - now_, micros(patience(m) * longest))};
+    const bool window = m.in.may_have_run && m.rules.idempotency == Idempotency::kIdempotentWithKey;
+    if (window) out.latest_start = window_end(m);
     out_->push_back(out);
   }
 
   void keep_watching() {
-    if (!set_.ask_for_list || watching_) return;
+    if (!set_.list_needs_watch || watching_) return;
     if (now_ < watch_at_) return wake(watch_at_);
-    out_->push_back(WatchList{});
+    out_->push_back(OpenListWatch{});
     watching_ = true;
   }
 
@@ -1201,7 +1216,7 @@
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
 
-size_t Policy::avoided(Time now) const { return impl_->avoided(now); }
+size_t Policy::ejected_endpoints(Time now) const { return impl_->avoided(now); }
 
 void Policy::step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
   impl_->step(now, events, actions);
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -109,23 +109,25 @@
   out.name = facts.text(at + "name", "");
   const std::string effect = facts.text(at + "semantics");
   if (effect == "safe") {
-    out.effect = Effect::kSafe;
+    out.idempotency = Idempotency::kIdempotent;
   } else if (effect == "keyed") {
-    out.effect = Effect::kKeyed;
+    out.idempotency = Idempotency::kIdempotentWithKey;
     const std::string scope = facts.text(at + "key_scope");
     if (scope != "all" && scope != "zone" && scope != "cell") Facts::unreadable(at + "key_scope");
-    out.key_scope = scope == "all" ? KeyScope::kAll : scope == "zone" ? KeyScope::kZone : KeyScope::kCell;
-    out.key_window = facts.time(at + "key_ttl_s");
+    out.deduplication_scope = scope == "all"    ? DeduplicationScope::kAll
+                              : scope == "zone" ? DeduplicationScope::kZone
+                                                : DeduplicationScope::kGroup;
+    out.deduplication_window = facts.time(at + "key_ttl_s");
   } else if (effect != "unsafe") {
     Facts::unreadable(at + "semantics");
   }
   out.in_order = facts.flag(at + "in_order", false);
-  out.target = facts.time(at + "target_s");
-  out.give_up = facts.time(at + "give_up_s");
-  if (out.target == 0) Facts::unreadable(at + "target_s");
-  if (out.give_up == 0) Facts::unreadable(at + "give_up_s");
-  out.worth = facts.number(at + "worth", 1.0);
-  out.late_worth = facts.number(at + "late_worth", 0.0);
+  out.latency_objective = facts.time(at + "target_s");
+  out.max_lifetime = facts.time(at + "give_up_s");
+  if (out.latency_objective == 0) Facts::unreadable(at + "target_s");
+  if (out.max_lifetime == 0) Facts::unreadable(at + "give_up_s");
+  out.priority_weight = facts.number(at + "worth", 1.0);
+  out.late_weight_share = facts.number(at + "late_worth", 0.0);
   return out;
 }
 
@@ -136,10 +138,11 @@
     KindSettings kind;
     kind.name = name;
     const size_t index = out.kinds.size();
-    if (index < apart.size()) kind.apart = Facts::parse_flag("family_info.kind_apart", apart[index]);
+    if (index < apart.size())
+      kind.independent_endpoints = Facts::parse_flag("family_info.kind_apart", apart[index]);
     if (index < batch.size()) {
       if (batch[index] < 1 || batch[index] > kMostEntries) Facts::unreadable("family_info.kind_batch");
-      kind.batch = static_cast<int>(batch[index]);
+      kind.max_batch_size = static_cast<int>(batch[index]);
     }
     out.kinds.push_back(kind);
   }
@@ -157,20 +160,20 @@
 void parse_report(const Facts& facts, Settings& out) {
   const auto fields = facts.list("telemetry.fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "x0") out.report_left = static_cast<int>(i);
-    if (fields[i] == "x1") out.report_limit = static_cast<int>(i);
+    if (fields[i] == "x0") out.report_limit_remaining_index = static_cast<int>(i);
+    if (fields[i] == "x1") out.report_limit_index = static_cast<int>(i);
   }
 }
 
 void parse_prices(const Facts& facts, Settings& out) {
-  out.price_cross_zone = facts.number("prices.cross_zone", 0.0);
-  out.price_handshake = facts.number("prices.handshake", 0.0);
-  out.price_waste = facts.number("prices.waste", 0.0);
-  out.price_late_fail = facts.number("prices.late_fail", 0.0);
-  out.price_probe = facts.number("prices.probe", 0.0);
-  out.price_peer = facts.number("prices.peer", 0.0);
-  out.price_refused = facts.number("family_info.refused_price", 0.0);
-  out.zone_fee = facts.numbers("family_info.zone_fee");
+  out.cost_cross_zone = facts.number("prices.cross_zone", 0.0);
+  out.cost_handshake = facts.number("prices.handshake", 0.0);
+  out.cost_waste = facts.number("prices.waste", 0.0);
+  out.cost_late_failure = facts.number("prices.late_fail", 0.0);
+  out.cost_health_check = facts.number("prices.probe", 0.0);
+  out.cost_gossip = facts.number("prices.peer", 0.0);
+  out.cost_rejected = facts.number("family_info.refused_price", 0.0);
+  out.zone_costs = facts.numbers("family_info.zone_fee");
 }
 
 }  // namespace
@@ -187,36 +190,36 @@
   parse_tenants(facts, out);
   parse_report(facts, out);
   parse_prices(facts, out);
-  out.self = facts.integer("me", 0, 0);
-  out.relays = facts.integer("siblings", 1, 1);
+  out.relay_index = facts.integer("me", 0, 0);
+  out.relay_count = facts.integer("siblings", 1, 1);
   out.zone = facts.integer("zone", 0, 0);
-  out.slots = facts.integer("family_info.calls_out", 1);
-  out.max_open = facts.integer("bounds.open_cap", 1);
+  out.max_concurrent_calls = facts.integer("family_info.calls_out", 1);
+  out.max_pending_messages = facts.integer("bounds.open_cap", 1);
   out.max_attempts = facts.integer("bounds.max_attempts", 1);
-  out.streams_per_conn = facts.integer("bounds.streams_per_conn", 1, 1);
-  out.may_probe = facts.flag("bounds.may_probe", false);
-  out.may_tell_peers = facts.flag("bounds.peers", false);
-  out.may_cancel = facts.flag("bounds.cancel", false);
-  out.ask_for_list = facts.text("discovery", "push") == "ask";
-  out.retry_after_heard = facts.flag("bounds.retry_after", false);
-  out.late_by_halves = facts.text("family_info.late", "line") == "halves";
+  out.streams_per_connection = facts.integer("bounds.streams_per_conn", 1, 1);
+  out.health_checks_allowed = facts.flag("bounds.may_probe", false);
+  out.gossip_allowed = facts.flag("bounds.peers", false);
+  out.cancellation_allowed = facts.flag("bounds.cancel", false);
+  out.list_needs_watch = facts.text("discovery", "push") == "ask";
+  out.clients_honor_retry_after = facts.flag("bounds.retry_after", false);
+  out.late_weight_halves = facts.text("family_info.late", "line") == "halves";
   const std::string weights = facts.text("weights", "silent");
   out.weights = weights == "nominal" ? Weights::kNominal
                 : weights == "rough" ? Weights::kRough
                                      : Weights::kNone;
-  out.over_share_worth = facts.within("over_share_worth", 0, 1, 1.0);
+  out.over_quota_weight_share = facts.within("over_share_worth", 0, 1, 1.0);
   out.tick = facts.time("resolution_s", 0);
-  out.conn_idle = facts.time("bounds.conn_idle_s", 0);
+  out.connection_idle_timeout = facts.time("bounds.conn_idle_s", 0);
   out.connect_timeout = facts.time("bounds.connect_timeout_s", 0);
   out.max_retry_after = facts.time("bounds.max_retry_after_s", 0);
   out.answer_slack = facts.time("obligations.answer_slack_s", 0);
   out.drain_grace = facts.time("obligations.stop_sending_within_s", 0);
-  out.ask_every = facts.time("obligations.ask_every_s", 0);
-  out.order_pause = facts.time("obligations.order_pause_s", 0);
-  out.cold = facts.time("obligations.cold_s", 0);
-  out.fall_window = facts.time("obligations.fall_s", 0);
-  out.fall_multiple = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
-  out.start_capacity = facts.within("obligations.start_capacity", 0, 1, 1.0);
+  out.list_poll_interval = facts.time("obligations.ask_every_s", 0);
+  out.ordering_pause = facts.time("obligations.order_pause_s", 0);
+  out.slow_start_duration = facts.time("obligations.cold_s", 0);
+  out.overload_window = facts.time("obligations.fall_s", 0);
+  out.overload_factor = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
+  out.initial_capacity_share = facts.within("obligations.start_capacity", 0, 1, 1.0);
   return out;
 }
 
--- a/registry/lease_table.h
+++ b/registry/lease_table.h
@@ -31,7 +31,7 @@
 };
 
 // What a candidate or holder asks. Names have 1 to 200 characters.
-struct LeaseCall {
+struct LeaseCommand {
   enum class Kind {
     kCampaign,  // the lease, or a place in line; again and again while it waits: the place lapses after a
                 // TTL. Of the one who holds it: the same grant, renewed
@@ -40,34 +40,34 @@
     kHandOver,  // an operator's, or the holder's: to `to`, or where it is empty to the next in line. It must
                 // wait in line. The holder is told at its next renewal, releases, and `to` gets it; if `to`
                 // is gone by then the next in line does. With a token only of that grant: safe to repeat
-    kRecord     // by the holder with its token: what it has done so far, for its successor
+    kCheckpoint  // by the holder with its token: what it has done so far, for its successor
   };
   Kind kind = Kind::kCampaign;
-  std::string name;    // of the lease
-  std::string holder;  // who asks: a name of a process, new with each start
-  Millis ttl_ms = 0;   // kCampaign
-  Token token = 0;     // kRenew, kRelease, kRecord; kHandOver: or none
-  std::string to;      // kHandOver
-  std::string record;  // kRecord
+  std::string name;        // of the lease
+  std::string holder;      // who asks: a name of a process, new with each start
+  Millis ttl_ms = 0;       // kCampaign
+  Token token = 0;         // kRenew, kRelease, kRecord; kHandOver: or none
+  std::string to;          // kHandOver
+  std::string checkpoint;  // kRecord
 };
 
-struct LeaseAnswer {
+struct LeaseResult {
   enum class Kind {
-    kHeld,     // the caller holds it, with `token`; kRelease, kHandOver, kRecord: done
-    kWaits,    // kCampaign: in line, at `place` (1 is next)
+    kGranted,  // the caller holds it, with `token`; kRelease, kHandOver, kRecord: done
+    kQueued,   // kCampaign: in line, at `place` (1 is next)
     kFenced,   // the caller's token is not the grant's: it holds nothing
     kUnknown,  // no such lease, or kHandOver: nobody of that name waits
     kRefused   // a bound is passed, or the table has begun anew and grants nothing yet: ask again after
                // `wait_ms`
   };
-  Kind kind = Kind::kHeld;
+  Kind kind = Kind::kGranted;
   Token token = 0;     // of the grant as it stands; 0: nobody holds it
   std::string holder;  // who has it
   size_t place = 0;
-  bool asked_back = false;  // kRenew: a hand-over is wanted: release soon
-  std::string record;       // kCampaign that is kHeld: what the holders before have left
-  Millis wait_ms = 0;       // kRefused
-  bool operator==(const LeaseAnswer&) const = default;
+  bool release_requested = false;  // kRenew: a hand-over is wanted: release soon
+  std::string checkpoint;          // kCampaign that is kHeld: what the holders before have left
+  Millis retry_after_ms = 0;       // kRefused
+  bool operator==(const LeaseResult&) const = default;
 };
 
 struct Lease {
@@ -77,33 +77,33 @@
     Millis until_ms = 0;  // its place lapses
     bool operator==(const Waiter&) const = default;
   };
-  struct Past {
+  struct PastHolder {
     std::string holder;
     Token token = 0;
     Millis from_ms = 0;
     Millis to_ms = 0;
     std::string how;  // "expired", "released", "handed_over"
-    bool operator==(const Past&) const = default;
+    bool operator==(const PastHolder&) const = default;
   };
   std::string name;
   std::string holder;  // empty: nobody
   Token token = 0;     // of the last grant
   Millis ttl_ms = 0;
   Millis from_ms = 0;
-  Millis until_ms = 0;      // it lapses once the log's time is there
-  std::string asked_for;    // a hand-over is wanted to this one; "*": to the next in line
-  std::deque<Waiter> line;  // in order of arrival
-  std::deque<Past> past;    // oldest first
-  std::string record;
+  Millis until_ms = 0;                  // it lapses once the log's time is there
+  std::string handover_target;          // a hand-over is wanted to this one; "*": to the next in line
+  std::deque<Waiter> queue;             // in order of arrival
+  std::deque<PastHolder> past_holders;  // oldest first
+  std::string checkpoint;
   bool operator==(const Lease&) const = default;
 };
 
-class Leases {
+class LeaseTable {
  public:
-  explicit Leases(LeaseLimits limits = {}) : limits_(limits) {}
+  explicit LeaseTable(LeaseLimits limits = {}) : limits_(limits) {}
 
   // In the log's order. `at` is the revision, greater with each call; `now` never goes back.
-  LeaseAnswer apply(Token at, Millis now, const LeaseCall& call);
+  LeaseResult apply(Token at, Millis now, const LeaseCommand& call);
   // What lapses by now: grants go to the next in line, places in line go.
   void tick(Token at, Millis now);
   // A new leader of the log: its clock is another one, so each lease gets a whole TTL again.
@@ -130,15 +130,15 @@
   };
   const Counts& counts() const { return counts_; }
 
-  nlohmann::json pack() const;                                             // for the snapshot
-  static Leases unpack(const nlohmann::json& packed, LeaseLimits limits);  // throws std::exception
+  nlohmann::json pack() const;                                                 // for the snapshot
+  static LeaseTable unpack(const nlohmann::json& packed, LeaseLimits limits);  // throws std::exception
 
  private:
   void grant(Lease& lease, Token at, Millis now, const std::string& holder, Millis ttl_ms);
   void end(Lease& lease, Token at, Millis now, const char* how);  // and the next in line gets it
   void next(Lease& lease, Token at, Millis now, const std::string& wanted);
   Lease* make(const std::string& name);
-  LeaseAnswer campaign(Token at, Millis now, const LeaseCall& call);
+  LeaseResult campaign(Token at, Millis now, const LeaseCommand& call);
 
   LeaseLimits limits_;
   std::map<std::string, Lease> leases_;
--- a/registry/list_follower.cpp
+++ b/registry/list_follower.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-Follower::Follower(boost::asio::io_context& io, FollowSettings settings, const nlohmann::json& saved,
-                   Listener listener)
+ListFollower::ListFollower(boost::asio::io_context& io, ListFollowerSettings settings,
+                           const nlohmann::json& saved, Listener listener)
     : io_(io),
       settings_(std::move(settings)),
       listener_(std::move(listener)),
@@ -38,16 +38,16 @@
   tick();
 }
 
-Follower::~Follower() { close(); }
+ListFollower::~ListFollower() { close(); }
 
-void Follower::close() {
+void ListFollower::close() {
   if (stream_) stream_->close();
   stream_.reset();
   pause_.expires_at(std::chrono::steady_clock::time_point::max());
   tick_.expires_at(std::chrono::steady_clock::time_point::max());
 }
 
-void Follower::connect_in(milliseconds pause) {
+void ListFollower::connect_in(milliseconds pause) {
   pause_.expires_after(pause);
   pause_.async_wait([this](const boost::system::error_code& error) {
     if (error || pause_.expiry() > std::chrono::steady_clock::now()) return;  // it was closed
@@ -55,7 +55,7 @@
   });
 }
 
-void Follower::connect() {
+void ListFollower::connect() {
   const auto self = std::make_shared<net::Lines*>(nullptr);
   stream_ = std::make_shared<net::Lines>(
       io_, at(), kSilence, [this](const std::string& text) { return line(text); },
@@ -69,7 +69,7 @@
   stream_->start(target);
 }
 
-void Follower::ended(const net::Lines* stream, net::Lines::End how) {
+void ListFollower::ended(const net::Lines* stream, net::Lines::End how) {
   if (stream != stream_.get()) return;
   stream_->close();
   stream_.reset();
@@ -82,16 +82,16 @@
   connect_in(backoff_.again(std::chrono::duration_cast<milliseconds>(since)));
 }
 
-Millis Follower::heard_ms() const { return heard_ < 0 ? -1 : now_ms() - heard_; }
+Millis ListFollower::heard_ms() const { return heard_ < 0 ? -1 : now_ms() - heard_; }
 
-void Follower::current() {
+void ListFollower::current() {
   backoff_.reset();
   answered_ = true;
   heard_ = now_ms();
   listener_.current();
 }
 
-bool Follower::line(const std::string& text) {
+bool ListFollower::line(const std::string& text) {
   if (text.find_first_not_of(" \r\t") == std::string::npos) {
     if (guard_.holds()) return true;
     // Nothing has changed: of what? Where no list is known that is no answer.
@@ -119,13 +119,13 @@
   return true;
 }
 
-void Follower::heed(const std::vector<nlohmann::json>& lines) {
+void ListFollower::heed(const std::vector<nlohmann::json>& lines) {
   if (lines.empty()) return;
   for (const nlohmann::json& one : lines) listener_.told(one);
   if (listener_.keep) listener_.keep(guard_.save());
 }
 
-void Follower::tick() {
+void ListFollower::tick() {
   heed(guard_.tick(now_ms()));
   tick_.expires_after(kTick);
   tick_.async_wait([this](const boost::system::error_code& error) {
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -15,7 +15,7 @@
 
 namespace turntally::registry {
 
-struct FollowSettings {
+struct ListFollowerSettings {
   std::vector<net::tcp::endpoint> members;
   ListGuard::Limits guard;
   int callers = 1;  // that follow the same members
@@ -23,7 +23,7 @@
   Millis late_ms = 4000;  // a member that has not heard from a majority for so long is left for another
 };
 
-class Follower {
+class ListFollower {
  public:
   struct Listener {
     std::function<void(const nlohmann::json& line)> told;   // a list to heed, as discovery writes it
@@ -32,9 +32,9 @@
   };
 
   // `saved`: what `keep` gave last; null where there is none. It is told at once.
-  Follower(boost::asio::io_context& io, FollowSettings settings, const nlohmann::json& saved,
-           Listener listener);
-  ~Follower();
+  ListFollower(boost::asio::io_context& io, ListFollowerSettings settings, const nlohmann::json& saved,
+               Listener listener);
+  ~ListFollower();
 
   void close();  // for good
   const ListGuard& guard() const { return guard_; }
@@ -52,7 +52,7 @@
   void tick();
 
   boost::asio::io_context& io_;
-  FollowSettings settings_;
+  ListFollowerSettings settings_;
   Listener listener_;
   ListGuard guard_;
   net::Backoff backoff_;
--- a/registry/replica.cpp
+++ b/registry/replica.cpp
@@ -149,7 +149,7 @@
 
   Loop& owner_;
   State state_;
-  Answer answer_;  // of the entry applied last
+  ApplyResult answer_;  // of the entry applied last
   bool restored_ = false;
   std::map<uint64_t, uint64_t> hashes_;  // of the state, by index
   bool changing_ = false;                // one change of the members at a time
@@ -383,18 +383,18 @@
 Result Replica::Loop::Log::result_of(int status) {
   switch (status) {
     case 0:
-      return {Fate::kDone, answer_, ""};
+      return {ProposalOutcome::kDone, answer_, ""};
     case RAFT_NOTLEADER:
-      return {Fate::kNotLeader, {}, "this member does not lead"};
+      return {ProposalOutcome::kNotLeader, {}, "this member does not lead"};
     case RAFT_CANTCHANGE:
     case RAFT_DUPLICATEID:
     case RAFT_DUPLICATEADDRESS:
     case RAFT_BADID:
     case RAFT_BADROLE:
     case RAFT_NOTFOUND:
-      return {Fate::kRefused, {}, raft_strerror(status)};
+      return {ProposalOutcome::kRefused, {}, raft_strerror(status)};
     default:
-      return {Fate::kUnknown, {}, raft_strerror(status)};
+      return {ProposalOutcome::kUnknown, {}, raft_strerror(status)};
   }
 }
 
@@ -417,7 +417,8 @@
 
 void Replica::Loop::Log::change(Task& task, const std::function<int(raft_change*, raft_change_cb)>& what) {
   if (changing_) {
-    return owner_.answer(task.ticket, {Fate::kRefused, {}, "another change of the members is under way"});
+    return owner_.answer(task.ticket,
+                         {ProposalOutcome::kRefused, {}, "another change of the members is under way"});
   }
   changing_ = true;
   const int failed = send<raft_change>(task.ticket, [&](raft_change* request) {
@@ -437,7 +438,8 @@
         task.command.text = net::hex(hashes_.rbegin()->second);
       }
       raft_buffer buffer = buffer_of(encode(task.command));
-      if (buffer.base == nullptr) return owner_.answer(task.ticket, {Fate::kRefused, {}, "no memory"});
+      if (buffer.base == nullptr)
+        return owner_.answer(task.ticket, {ProposalOutcome::kRefused, {}, "no memory"});
       const int failed = send<ApplyRequest>(task.ticket, [&](ApplyRequest* request) {
         return ::raft_apply(&raft_, request, &buffer, 1,
                             [](ApplyRequest* done, int status, void*) { ended(done, status); });
@@ -480,11 +482,12 @@
     told_ = {};
     std::unique_lock lock(mutex_);
     for (const Task& task : std::exchange(tasks_, {})) {
-      answer(task.ticket, {Fate::kRefused, {}, "the log is closed: " + why});
+      answer(task.ticket, {ProposalOutcome::kRefused, {}, "the log is closed: " + why});
     }
     if (stopping_) return;
     say([why](Loop& loop) {
-      for (const auto& [ticket, done] : std::exchange(loop.waiting_, {})) done({Fate::kUnknown, {}, why});
+      for (const auto& [ticket, done] : std::exchange(loop.waiting_, {}))
+        done({ProposalOutcome::kUnknown, {}, why});
       loop.listener_.standing({});
       loop.listener_.trouble(why);
     });
@@ -510,7 +513,7 @@
   waiting_[task.ticket] = std::move(done);
   const std::lock_guard lock(mutex_);
   if (log_ == nullptr) {
-    answer(task.ticket, {Fate::kRefused, {}, "the log is closed"});
+    answer(task.ticket, {ProposalOutcome::kRefused, {}, "the log is closed"});
     return;
   }
   tasks_.push_back(std::move(task));
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -41,7 +41,7 @@
 };
 
 // What became of a proposal.
-enum class Fate {
+enum class ProposalOutcome {
   kDone,
   kNotLeader,  // nothing was written
   kUnknown,    // the lead was lost or the log closed: it may still be applied
@@ -49,8 +49,8 @@
 };
 
 struct Result {
-  Fate fate = Fate::kDone;
-  Answer answer;  // kDone, of a command
+  ProposalOutcome fate = ProposalOutcome::kDone;
+  ApplyResult answer;  // kDone, of a command
   std::string why;
 };
 
@@ -70,7 +70,7 @@
  public:
   // All called in the caller's io_context.
   struct Listener {
-    std::function<void(uint64_t index, const Command&, const Answer&)> applied;
+    std::function<void(uint64_t index, const Command&, const ApplyResult&)> applied;
     std::function<void(uint64_t index, State)> restored;  // in place of all before it
     std::function<void(const Standing&)> standing;        // when it has changed
     std::function<void(const std::string&)> trouble;      // the log was closed, and will be opened again
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -52,8 +52,8 @@
 
 // Why the log has not taken a proposal.
 Error error_of(const Result& result) {
-  if (result.fate == Fate::kNotLeader) return NoLeader(result.why);
-  if (result.fate == Fate::kRefused) return ProposalRefused(result.why);
+  if (result.fate == ProposalOutcome::kNotLeader) return NoLeader(result.why);
+  if (result.fate == ProposalOutcome::kRefused) return ProposalRefused(result.why);
   return WriteUnknown(result.why);
 }
 
@@ -99,29 +99,29 @@
 
 constexpr std::array kLeaseCalls = {"campaign", "renew", "release", "hand_over", "record"};
 
-LeaseCall call_of(const json& body, const std::string& name, const LeaseLimits& limits) {
-  LeaseCall out;
+LeaseCommand call_of(const json& body, const std::string& name, const LeaseLimits& limits) {
+  LeaseCommand out;
   const auto kind = std::find(kLeaseCalls.begin(), kLeaseCalls.end(), field<std::string>(body, "call", ""));
   if (kind == kLeaseCalls.end()) {
     throw std::invalid_argument("call must be campaign, renew, release, hand_over or record");
   }
-  out.kind = static_cast<LeaseCall::Kind>(kind - kLeaseCalls.begin());
+  out.kind = static_cast<LeaseCommand::Kind>(kind - kLeaseCalls.begin());
   out.name = name;
   out.holder = field<std::string>(body, "holder", "");
   out.ttl_ms = field<Millis>(body, "ttl_ms", 0);
   out.token = field<Token>(body, "token", 0);
   out.to = field<std::string>(body, "to", "");
-  out.record = field<std::string>(body, "record", "");
+  out.checkpoint = field<std::string>(body, "record", "");
   if (name.size() > 200) throw std::invalid_argument("a lease's name must have 1 to 200 characters");
-  if (out.kind != LeaseCall::Kind::kHandOver && (out.holder.empty() || out.holder.size() > 200)) {
+  if (out.kind != LeaseCommand::Kind::kHandOver && (out.holder.empty() || out.holder.size() > 200)) {
     throw std::invalid_argument("holder must have 1 to 200 characters");
   }
-  if (out.kind == LeaseCall::Kind::kCampaign &&
+  if (out.kind == LeaseCommand::Kind::kCampaign &&
       (out.ttl_ms < limits.least_ttl_ms || out.ttl_ms > limits.most_ttl_ms)) {
     throw std::invalid_argument("ttl_ms must be " + std::to_string(limits.least_ttl_ms) + " to " +
                                 std::to_string(limits.most_ttl_ms));
   }
-  if (out.record.size() > limits.record) {
+  if (out.checkpoint.size() > limits.record) {
     throw std::invalid_argument("record: over " + std::to_string(limits.record) + " bytes");
   }
   return out;
@@ -129,9 +129,9 @@
 
 json json_of(const Lease& lease, Millis now) {
   json waiting = json::array();
-  for (const Lease::Waiter& w : lease.line) waiting.push_back(w.holder);
+  for (const Lease::Waiter& w : lease.queue) waiting.push_back(w.holder);
   json past = json::array();
-  for (const Lease::Past& p : lease.past) {
+  for (const Lease::PastHolder& p : lease.past_holders) {
     past.push_back({{"holder", p.holder},
                     {"token", p.token},
                     {"from_ms", p.from_ms},
@@ -145,8 +145,8 @@
           {"left_ms", lease.holder.empty() ? 0 : std::max<Millis>(lease.until_ms - now, 0)},
           {"waiting", waiting},
           {"past", past},
-          {"asked_for", lease.asked_for},
-          {"record_bytes", lease.record.size()}};
+          {"asked_for", lease.handover_target},
+          {"record_bytes", lease.checkpoint.size()}};
 }
 
 std::string rest_of(const std::string& path, const std::string& prefix) {
@@ -174,19 +174,19 @@
     throw std::invalid_argument("host_port '" + out.host_port + "' is no address such as 127.0.0.1:80");
   }
   out.locality = field<std::string>(from, "locality", "");
-  out.flavor = field<std::string>(from, "flavor", "");
-  out.cell = field<int>(from, "cell", 0);
-  out.phase = field<std::string>(from, "phase", "active");
+  out.kind = field<std::string>(from, "flavor", "");
+  out.group = field<int>(from, "cell", 0);
+  out.state = field<std::string>(from, "phase", "active");
   out.owner = field<std::string>(from, "owner", "");
-  out.said = field<std::string>(from, "source_phase", out.owner.empty() ? "" : out.phase);
-  out.drained = field<bool>(from, "drained", false);
-  for (const std::string& phase : {out.phase, out.owner.empty() ? out.phase : out.said}) {
+  out.source_state = field<std::string>(from, "source_phase", out.owner.empty() ? "" : out.state);
+  out.drained_by_operator = field<bool>(from, "drained", false);
+  for (const std::string& phase : {out.state, out.owner.empty() ? out.state : out.source_state}) {
     if (phase != "active" && phase != "leaving") {
       throw std::invalid_argument("phase '" + phase + "' must be active or leaving");
     }
   }
-  out.size = field<double>(from, "size", 1);
-  if (!std::isfinite(out.size) || out.size < 0) throw std::invalid_argument("size must be 0 or more");
+  out.weight = field<double>(from, "size", 1);
+  if (!std::isfinite(out.weight) || out.weight < 0) throw std::invalid_argument("size must be 0 or more");
   out.up_since_ms = field<int64_t>(from, "up_since_ms", 0);
   out.ttl_ms = field<int64_t>(from, "ttl_ms", 0);
   if (out.ttl_ms < 0) throw std::invalid_argument("ttl_ms must be 0 or more");
@@ -194,13 +194,13 @@
 }
 
 json json_of(const Entry& entry) {
-  json out = State::member(entry, entry.phase);
+  json out = State::member(entry, entry.state);
   out["ttl_ms"] = entry.ttl_ms;
   out["revision"] = entry.revision;
   if (!entry.owner.empty()) {
     out["owner"] = entry.owner;
-    out["source_phase"] = entry.said;
-    out["drained"] = entry.drained;
+    out["source_phase"] = entry.source_state;
+    out["drained"] = entry.drained_by_operator;
   }
   return out;
 }
@@ -316,7 +316,7 @@
     : io_(io), config_(std::move(config)), fatal_(std::move(fatal)), tick_(io) {
   figures_.commit_buckets.resize(kCommitBounds.size() + 1);
   fs::create_directories(config_.folder);
-  hub_ = std::make_unique<Hub>(io_, state_, [this] {
+  hub_ = std::make_unique<WatchBroadcaster>(io_, state_, [this] {
     const int64_t heard = heard_ms();
     const bool late = heard < 0 || heard >= kLateMs;
     const Millis source = state_.source_ms();
@@ -373,7 +373,7 @@
   }
   keep();
   Replica::Listener listener;
-  listener.applied = [this](uint64_t index, const Command& command, const registry::Answer& answer) {
+  listener.applied = [this](uint64_t index, const Command& command, const registry::ApplyResult& answer) {
     applied(index, command, answer);
   };
   listener.restored = [this](uint64_t index, State state) {
@@ -393,19 +393,20 @@
   replica_ = std::make_unique<Replica>(io_, std::move(settings), std::move(listener));
 }
 
-void Service::applied(uint64_t index, const Command& command, const registry::Answer&) {
+void Service::applied(uint64_t index, const Command& command, const registry::ApplyResult&) {
   if (index <= index_) return;  // the log was opened again
   index_ = index;
   heard_ = net::steady_now();
   const Revision before = state_.revision();
   const Revision compacted = state_.compacted();
-  const Leases::Counts leases = state_.leases().counts();
-  const registry::Answer answer = state_.apply(index, command);
-  const Leases::Counts& after = state_.leases().counts();
+  const LeaseTable::Counts leases = state_.leases().counts();
+  const registry::ApplyResult answer = state_.apply(index, command);
+  const LeaseTable::Counts& after = state_.leases().counts();
   figures_.leases.granted += after.granted - leases.granted;
   figures_.leases.expired += after.expired - leases.expired;
   figures_.leases.renewed += after.renewed - leases.renewed;
-  figures_.leases.fenced += after.fenced - leases.fenced + (answer.kind == registry::Answer::Kind::kFenced);
+  figures_.leases.fenced +=
+      after.fenced - leases.fenced + (answer.kind == registry::ApplyResult::Kind::kFenced);
   // A member that leads soon after its start learns only now how far the log's time had come: until its own
   // clock had caught up, as long again as the log is old, no time would pass and no lease lapse.
   if (leads() && state_.now() * 1000 > clock_us_) {
@@ -450,14 +451,14 @@
   if (!leads() || in_flight_ >= kMostInFlight) return;
   const auto ignored = [](const Result&) {};
   if (!lead_told_) {  // before all else that this leader writes
-    Command lead{Command::Kind::kLead, now_ms(), "", {}, "", 0};
+    Command lead{Command::Kind::kLeaderElected, now_ms(), "", {}, "", 0};
     lead.number = static_cast<uint64_t>(config_.lease_most_ttl_ms);
     replica_->propose(lead, [this, term = standing_.term](const Result& result) {
-      lead_told_ = lead_told_ || (result.fate == Fate::kDone && term == standing_.term);
+      lead_told_ = lead_told_ || (result.fate == ProposalOutcome::kDone && term == standing_.term);
     });
   }
   if (state_.identity().empty()) {
-    Command found{Command::Kind::kFound, now_ms(), "", {}, new_identity(), 0};
+    Command found{Command::Kind::kBootstrap, now_ms(), "", {}, new_identity(), 0};
     found.number = static_cast<uint64_t>(net::wall_now() / 1000);
     replica_->propose(found, ignored);
   }
@@ -535,59 +536,59 @@
 };
 
 // What a lease's call has come to, for who asked.
-HttpReply Service::lease_reply(const LeaseCall& call, const LeaseAnswer& said, Revision revision) const {
+HttpReply Service::lease_reply(const LeaseCommand& call, const LeaseResult& said, Revision revision) const {
   json body = {{"token", said.token}, {"holder", said.holder}, {"revision", revision}};
   const std::string name = "'" + call.name + "'";
   switch (said.kind) {
-    case LeaseAnswer::Kind::kFenced:
+    case LeaseResult::Kind::kFenced:
       return failure(
           LeaseFenced(call.token == 0 ? "'" + call.holder + "' neither holds " + name + " nor waits"
                                       : "token " + std::to_string(call.token) + " of " + name +
                                             " is not the grant that stands"),
           body);
-    case LeaseAnswer::Kind::kUnknown:
+    case LeaseResult::Kind::kUnknown:
       if (said.holder.empty()) return failure(LeaseUnknown("nobody holds " + name), body);
       return failure(LeaseUnknown(call.to.empty() ? "nobody waits for " + name
                                                   : "'" + call.to + "' does not wait for " + name),
                      body);
-    case LeaseAnswer::Kind::kRefused: {
-      body["wait_ms"] = said.wait_ms;
+    case LeaseResult::Kind::kRefused: {
+      body["wait_ms"] = said.retry_after_ms;
       HttpReply out = failure(
-          LeaseRefused(said.wait_ms == 0     ? "a bound of " + name + " is passed"
-                       : said.holder.empty() ? "nothing is granted yet: holders of before may still act"
-                                             : "too many wait for " + name),
+          LeaseRefused(said.retry_after_ms == 0 ? "a bound of " + name + " is passed"
+                       : said.holder.empty()    ? "nothing is granted yet: holders of before may still act"
+                                                : "too many wait for " + name),
           body);
-      out.fields["Retry-After"] = std::to_string(std::max<Millis>(1, (said.wait_ms + 999) / 1000));
+      out.fields["Retry-After"] = std::to_string(std::max<Millis>(1, (said.retry_after_ms + 999) / 1000));
       return out;
     }
-    case LeaseAnswer::Kind::kHeld:
-    case LeaseAnswer::Kind::kWaits:
+    case LeaseResult::Kind::kGranted:
+    case LeaseResult::Kind::kQueued:
       break;
   }
   HttpReply out = head();
-  body["outcome"] = said.kind == LeaseAnswer::Kind::kHeld ? "held" : "waits";
+  body["outcome"] = said.kind == LeaseResult::Kind::kGranted ? "held" : "waits";
   body["place"] = said.place;
-  body["asked_back"] = said.asked_back;
-  body["record"] = said.record;
+  body["asked_back"] = said.release_requested;
+  body["record"] = said.checkpoint;
   out.body = body.dump() + "\n";
   return out;
 }
 
-HttpReply Service::reply_of(const Command& command, const registry::Answer& said) const {
+HttpReply Service::reply_of(const Command& command, const registry::ApplyResult& said) const {
   if (said.lease) return lease_reply(command.lease, *said.lease, said.revision);
   json body = {{"revision", said.revision}, {"identity", state_.identity()}};
-  if (said.kind != registry::Answer::Kind::kDone) body["id"] = said.id;
+  if (said.kind != registry::ApplyResult::Kind::kApplied) body["id"] = said.id;
   HttpReply out = head();
   switch (said.kind) {
-    case registry::Answer::Kind::kConflict:
+    case registry::ApplyResult::Kind::kConflict:
       return failure(RevisionConflict(said.id), body);
-    case registry::Answer::Kind::kUnknown:
+    case registry::ApplyResult::Kind::kUnknown:
       return failure(NotRegistered(said.id), body);
-    case registry::Answer::Kind::kFenced:
+    case registry::ApplyResult::Kind::kFenced:
       return failure(LeaseFenced("token " + std::to_string(command.fence_token) + " of '" + said.id +
                                  "' is not the grant that stands"),
                      {{"token", said.revision}});
-    case registry::Answer::Kind::kDone:
+    case registry::ApplyResult::Kind::kApplied:
       break;
   }
   out.body = body.dump() + "\n";
@@ -624,8 +625,8 @@
     });
     replica_->propose(command, [this, write, command](const Result& result) {
       --in_flight_;
-      if (result.fate != Fate::kDone) {
-        figures_.unknown += result.fate == Fate::kUnknown ? 1 : 0;
+      if (result.fate != ProposalOutcome::kDone) {
+        figures_.unknown += result.fate == ProposalOutcome::kUnknown ? 1 : 0;
         return write->reply(failure(error_of(result)));
       }
       const double took = static_cast<double>(net::steady_now() - write->begun) / 1e6;
@@ -633,7 +634,7 @@
       ++figures_.commit_buckets[static_cast<size_t>(at - kCommitBounds.begin())];
       figures_.commit_sum_s += took;
       ++figures_.writes;
-      if (result.answer.kind != registry::Answer::Kind::kDone) ++figures_.refused;
+      if (result.answer.kind != registry::ApplyResult::Kind::kApplied) ++figures_.refused;
       write->reply(reply_of(command, result.answer));
     });
   });
@@ -683,7 +684,7 @@
   at_leader(request, answer, [&] {
     ++figures_.consistent;
     barrier([answer, then = std::move(then)](const Result& result) {
-      if (result.fate == Fate::kDone) return then();
+      if (result.fate == ProposalOutcome::kDone) return then();
       answer->reply(failure(NoLeader(result.why)));
     });
   });
@@ -706,7 +707,7 @@
       for (const auto& [id, lease] : all) body["leases"].push_back(json_of(lease, state_.now()));
     } else if (const auto it = all.find(name); it != all.end()) {
       body = json_of(it->second, state_.now());
-      body["record"] = it->second.record;
+      body["record"] = it->second.checkpoint;
     } else {
       return answer->reply(failure(LeaseUnknown("nobody has held '" + name + "'")));
     }
@@ -724,18 +725,18 @@
     const auto items = body.find("items");
     if (items == body.end() || !items->is_array()) throw std::invalid_argument("items: is no list");
     for (const json& one : *items) {
-      Item item;
+      Mutation item;
       if (!one.is_object()) throw std::invalid_argument("items: each must be an object");
       item.id = field<std::string>(one, "id", "");
       if (item.id.empty()) throw std::invalid_argument("items: each must have an id");
       if (one.contains("entry") && !one["entry"].is_null()) item.entry = entry_of(one["entry"], item.id);
       if (one.contains("if_match")) item.if_match = field<Revision>(one, "if_match", 0);
-      command.items.push_back(std::move(item));
+      command.mutations.push_back(std::move(item));
     }
   } else if (!id.empty() && request.method == "PUT") {
-    command.items.push_back({id, entry_of(parsed(request.body), id), match_of(request)});
+    command.mutations.push_back({id, entry_of(parsed(request.body), id), match_of(request)});
   } else if (!id.empty() && request.method == "DELETE") {
-    command.items.push_back({id, {}, match_of(request)});
+    command.mutations.push_back({id, {}, match_of(request)});
   } else if (!id.empty() && request.method == "GET") {
     const auto it = state_.entries().find(id);
     if (it == state_.entries().end()) return answer->reply(failure(NotListed(id)));
@@ -768,7 +769,7 @@
   if (it == standing_.members.end()) return then({});
   log::info("member_removed", "id", it->id);
   replica_->remove(it->id, [this, number, id = it->id, then](const Result& result) {
-    if (result.fate != Fate::kDone) return then(result);
+    if (result.fate != ProposalOutcome::kDone) return then(result);
     std::erase_if(standing_.members, [&](const Peer& peer) { return peer.id == id; });
     drop(number, then);
   });
@@ -780,11 +781,11 @@
                                  [&](const Peer& peer) { return peer.id % kNumbers == number; });
   if (!known) return answer->reply(failure(MemberUnknown(number)));
   drop(number, [this, number, address, answer](const Result& dropped) {
-    if (dropped.fate != Fate::kDone) return answer->reply(failure(MembersChange(dropped.why)));
+    if (dropped.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(dropped.why)));
     // Never used before: the log only grows.
     const uint64_t id = number + kNumbers * (standing_.last + 1);
     replica_->add(id, address.raft, [this, id, address, answer](const Result& added) {
-      if (added.fate != Fate::kDone) return answer->reply(failure(MembersChange(added.why)));
+      if (added.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(added.why)));
       log::info("member_added", "id", id, "raft", address.raft);
       replica_->propose({Command::Kind::kMember, now_ms(), "", {}, address.http, id % kNumbers},
                         [answer, id](const Result&) {
@@ -816,13 +817,13 @@
       if (standing_.members.size() < 2) return answer->reply(failure(LastMember()));
       return replica_->transfer(0, [answer](const Result& result) {
         answer->reply(
-            failure(LeadMoves(result.fate == Fate::kDone
+            failure(LeadMoves(result.fate == ProposalOutcome::kDone
                                   ? "the member leads: it has handed the lead over, ask again"
                                   : "the member leads, and its lead cannot be handed over: " + result.why)));
       });
     }
     drop(*number, [this, number = *number, request, answer](const Result& result) {
-      if (result.fate != Fate::kDone) return answer->reply(failure(MembersChange(result.why)));
+      if (result.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(result.why)));
       write(request, answer, {Command::Kind::kMember, 0, "", {}, "", number});
     });
   });
@@ -838,10 +839,10 @@
   if (entries == backup.end() || !entries->is_array()) throw std::invalid_argument("entries: is no list");
   for (const json& one : *entries) {
     const Entry entry = entry_of(one, "");
-    command.items.push_back({entry.id, entry, {}});
+    command.mutations.push_back({entry.id, entry, {}});
   }
   for (const std::string& id : field<std::vector<std::string>>(backup, "drained", {})) {
-    command.items.push_back({id, {}, {}});
+    command.mutations.push_back({id, {}, {}});
   }
   write(request, answer, std::move(command));
 }
@@ -864,7 +865,7 @@
   for (const json& one : members) {
     if (!one.is_object()) throw std::invalid_argument("members: each must be an object");
     if (field<std::string>(one, "phase", "") == "left") {
-      command.items.push_back({field<std::string>(one, "id", ""), {}, {}});
+      command.mutations.push_back({field<std::string>(one, "id", ""), {}, {}});
       continue;
     }
     json known;  // a source may tell more than an entry has
@@ -873,7 +874,7 @@
       if (one.contains(key)) known[key] = one[key];
     }
     Entry entry = entry_of(known, "");
-    command.items.push_back({entry.id, std::move(entry), {}});
+    command.mutations.push_back({entry.id, std::move(entry), {}});
   }
   write(request, answer, std::move(command));
 }
@@ -908,7 +909,7 @@
           {"compacted", state_.compacted()},
           {"entries", state_.entries().size()},
           {"registrations", state_.registrations()},
-          {"expiry_held", state_.held()},
+          {"expiry_held", state_.expiry_paused()},
           {"heard_ms", heard_ms()},
           {"watchers", hub_->watchers()},
           {"refusal", refusal() ? refusal()->what() : ""},
@@ -928,12 +929,12 @@
   one("revision", "gauge", state_.revision());
   one("entries", "gauge", state_.entries().size());
   one("registrations", "gauge", state_.registrations());
-  one("expiry_held", "gauge", state_.held() ? 1 : 0);
+  one("expiry_held", "gauge", state_.expiry_paused() ? 1 : 0);
   uint64_t held = 0;
   uint64_t waiting = 0;
   for (const auto& [name, lease] : state_.leases().all()) {
     held += lease.holder.empty() ? 0 : 1;
-    waiting += lease.line.size();
+    waiting += lease.queue.size();
   }
   one("leases", "gauge", state_.leases().all().size());
   one("leases_held", "gauge", held);
--- a/registry/service.h
+++ b/registry/service.h
@@ -56,7 +56,7 @@
   void barrier(std::function<void(const Result&)> then);
   void begin_barrier();
 
-  void applied(uint64_t index, const Command& command, const registry::Answer& answer);
+  void applied(uint64_t index, const Command& command, const registry::ApplyResult& answer);
   void standing(const Standing& now);
   void tick();
   bool leads() const { return standing_.role == Standing::Role::kLeader; }
@@ -65,8 +65,8 @@
   std::optional<Error> refusal() const;  // why no write can be taken here
   std::string http_of(uint64_t number) const;
   net::HttpReply head() const;
-  net::HttpReply reply_of(const Command& command, const registry::Answer& said) const;
-  net::HttpReply lease_reply(const LeaseCall& call, const LeaseAnswer& said, Revision revision) const;
+  net::HttpReply reply_of(const Command& command, const registry::ApplyResult& said) const;
+  net::HttpReply lease_reply(const LeaseCommand& call, const LeaseResult& said, Revision revision) const;
   nlohmann::json status() const;
   std::string metrics() const;
 
@@ -92,7 +92,7 @@
     uint64_t refused = 0;  // conflicts, and bad input
     uint64_t unknown = 0;  // writes whose fate was not known in time
     uint64_t redirected = 0;
-    Leases::Counts leases;  // as this member has applied the log
+    LeaseTable::Counts leases;  // as this member has applied the log
     uint64_t reads = 0;
     uint64_t consistent = 0;
     uint64_t leader_changes = 0;
@@ -102,7 +102,7 @@
     double commit_sum_s = 0;
   } figures_;
 
-  std::unique_ptr<Hub> hub_;
+  std::unique_ptr<WatchBroadcaster> hub_;
   std::unique_ptr<net::HttpServer> server_;
   std::unique_ptr<Replica> replica_;
   std::shared_ptr<Join> join_;
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -23,9 +23,9 @@
 }
 
 json pack(const Entry& e) {
-  json out = json::array({e.id, e.host_port, e.locality, e.flavor, e.cell, e.phase, e.size, e.up_since_ms,
+  json out = json::array({e.id, e.host_port, e.locality, e.kind, e.group, e.state, e.weight, e.up_since_ms,
                           e.ttl_ms, e.revision});
-  if (!e.owner.empty()) out.insert(out.end(), {e.owner, e.said, e.drained});
+  if (!e.owner.empty()) out.insert(out.end(), {e.owner, e.source_state, e.drained_by_operator});
   return out;
 }
 
@@ -33,8 +33,8 @@
   Entry out{j.at(0), j.at(1), j.at(2), j.at(3), j.at(4), j.at(5), j.at(6), j.at(7), j.at(8), j.at(9)};
   if (j.size() > 10) {
     out.owner = j.at(10);
-    out.said = j.at(11);
-    out.drained = j.at(12);
+    out.source_state = j.at(11);
+    out.drained_by_operator = j.at(12);
   }
   return out;
 }
@@ -52,22 +52,22 @@
 
 LeaseLimits unpack_limits(const json& j) { return {j.at(0), j.at(1), j.at(2), j.at(3), j.at(4), j.at(5)}; }
 
-json pack(const LeaseCall& c) {
-  return json::array({static_cast<int>(c.kind), c.name, c.holder, c.ttl_ms, c.token, c.to, c.record});
+json pack(const LeaseCommand& c) {
+  return json::array({static_cast<int>(c.kind), c.name, c.holder, c.ttl_ms, c.token, c.to, c.checkpoint});
 }
 
-LeaseCall unpack_call(const json& j) {
+LeaseCommand unpack_call(const json& j) {
   const int kind = j.at(0);
-  if (kind < 0 || kind > static_cast<int>(LeaseCall::Kind::kRecord))
+  if (kind < 0 || kind > static_cast<int>(LeaseCommand::Kind::kCheckpoint))
     throw std::invalid_argument("no such call of a lease");
-  return {static_cast<LeaseCall::Kind>(kind), j.at(1), j.at(2), j.at(3), j.at(4), j.at(5), j.at(6)};
+  return {static_cast<LeaseCommand::Kind>(kind), j.at(1), j.at(2), j.at(3), j.at(4), j.at(5), j.at(6)};
 }
 
 }  // namespace
 
 std::string encode(const Command& command) {
   json items = json::array();
-  for (const Item& item : command.items) {
+  for (const Mutation& item : command.mutations) {
     items.push_back({item.id, pack(item.entry), item.if_match ? json(*item.if_match) : json()});
   }
   json out = {
@@ -95,8 +95,8 @@
   out.request = j.at(2);
   for (const json& item : j.at(3)) {
     const json& match = item.at(2);
-    out.items.push_back({item.at(0), unpack_some(item.at(1)),
-                         match.is_null() ? std::nullopt : std::optional(match.get<Revision>())});
+    out.mutations.push_back({item.at(0), unpack_some(item.at(1)),
+                             match.is_null() ? std::nullopt : std::optional(match.get<Revision>())});
   }
   out.text = j.at(4);
   out.number = j.at(5);
@@ -110,12 +110,12 @@
   return out;
 }
 
-std::optional<Answer> State::refusal(const std::vector<Item>& items) const {
-  for (const Item& item : items) {
+std::optional<ApplyResult> State::refusal(const std::vector<Mutation>& items) const {
+  for (const Mutation& item : items) {
     if (!item.if_match) continue;
     const auto it = entries_.find(item.id);
     const Revision has = it == entries_.end() ? 0 : it->second.revision;
-    if (has != *item.if_match) return Answer{Answer::Kind::kConflict, has, item.id};
+    if (has != *item.if_match) return ApplyResult{ApplyResult::Kind::kConflict, has, item.id};
   }
   return {};
 }
@@ -149,19 +149,19 @@
 // What is not renewed becomes leaving, then is gone. Many that would lapse at once speak against us, not
 // them: then nothing lapses until they are renewed or fewer are due.
 void State::expire(Revision index) {
-  while (!lapses_.empty() && lapses_.front() <= now_ - limits_.lapse_span_ms) lapses_.pop_front();
+  while (!lapses_.empty() && lapses_.front() <= now_ - limits_.expiry_window_ms) lapses_.pop_front();
   std::vector<std::string> due;
   std::vector<std::string> gone;
   for (const auto& [id, at] : due_) {
     if (at > now_) continue;
-    (entries_.at(id).phase == "leaving" ? gone : due).push_back(id);
+    (entries_.at(id).state == "leaving" ? gone : due).push_back(id);
   }
-  const auto share = static_cast<size_t>(limits_.lapse_share * static_cast<double>(due_.size()));
-  held_ = lapses_.size() + due.size() > std::max(limits_.lapse_least, share);
-  if (!held_) {
+  const auto share = static_cast<size_t>(limits_.max_expired_share * static_cast<double>(due_.size()));
+  expiry_paused_ = lapses_.size() + due.size() > std::max(limits_.expired_always_allowed, share);
+  if (!expiry_paused_) {
     for (const std::string& id : due) {
       Entry entry = entries_.at(id);
-      entry.phase = "leaving";
+      entry.state = "leaving";
       set(index, id, entry);
       due_[id] = now_ + limits_.leave_ms;
       lapsed_.insert(id);
@@ -171,7 +171,7 @@
   for (const std::string& id : gone) set(index, id, {});
 }
 
-void State::remember(const std::string& request, const Answer& answer) {
+void State::remember(const std::string& request, const ApplyResult& answer) {
   if (request.empty()) return;
   answers_[request] = answer;
   requests_.push_back(request);
@@ -183,21 +183,21 @@
 
 // What an operator or a deployment says. Of a mirrored entry only the phase is theirs: a drain, which lasts
 // whatever the source says, until they take it back; and that it is to leave the list.
-void State::write(Revision index, const Item& item) {
+void State::write(Revision index, const Mutation& item) {
   const auto it = entries_.find(item.id);
-  if (item.entry && item.entry->phase == "active") drains_.erase(item.id);
+  if (item.entry && item.entry->state == "active") drains_.erase(item.id);
   if (it != entries_.end() && !it->second.owner.empty()) {
     if (!item.entry) return leave(index, item.id);
     Entry entry = it->second;
-    entry.drained = item.entry->phase == "leaving";
-    entry.phase = entry.drained ? "leaving" : entry.said;
+    entry.drained_by_operator = item.entry->state == "leaving";
+    entry.state = entry.drained_by_operator ? "leaving" : entry.source_state;
     return set(index, item.id, entry);
   }
   std::optional<Entry> entry = item.entry;
   if (entry) {
     entry->owner.clear();
-    entry->said.clear();
-    entry->drained = false;
+    entry->source_state.clear();
+    entry->drained_by_operator = false;
   }
   set(index, item.id, entry);
   lapsed_.erase(item.id);
@@ -207,7 +207,7 @@
 
 // A mirrored entry goes; an operator's drain of it outlasts that.
 void State::leave(Revision index, const std::string& id) {
-  if (entries_.at(id).drained) drains_[id] = index;
+  if (entries_.at(id).drained_by_operator) drains_[id] = index;
   if (drains_.size() > kMostDrains) {
     drains_.erase(std::min_element(drains_.begin(), drains_.end(), [](const auto& a, const auto& b) {
       return std::tie(a.second, a.first) < std::tie(b.second, b.first);
@@ -226,7 +226,7 @@
 void State::mirror(Revision index, const Command& command) {
   sources_[command.text] = {command.number, now_, command.fence_token, command.serial};
   std::set<std::string> named;
-  for (const Item& item : command.items) {
+  for (const Mutation& item : command.mutations) {
     named.insert(item.id);
     const auto it = entries_.find(item.id);
     const bool there = it != entries_.end();
@@ -237,10 +237,10 @@
     }
     Entry entry = *item.entry;
     entry.owner = command.text;
-    entry.said = entry.phase;
+    entry.source_state = entry.state;
     entry.ttl_ms = 0;
-    entry.drained = there ? it->second.drained : drains_.erase(item.id) > 0;
-    if (entry.drained) entry.phase = "leaving";
+    entry.drained_by_operator = there ? it->second.drained_by_operator : drains_.erase(item.id) > 0;
+    if (entry.drained_by_operator) entry.state = "leaving";
     set(index, item.id, entry);
   }
   if (!command.whole) return;
@@ -266,7 +266,7 @@
   return out;
 }
 
-Answer State::apply(uint64_t at, const Command& command) {
+ApplyResult State::apply(uint64_t at, const Command& command) {
   Revision index = base_ + at;
   now_ = std::max(now_, command.now_ms);  // a new leader's clock may be behind
   if (const auto before = answers_.find(command.request);
@@ -277,51 +277,51 @@
     leases_.tick(index, now_);  // what has lapsed stands for nothing
     if (!leases_.holds(command.fence, command.fence_token)) {
       // Not remembered: the same may come again under another grant.
-      return {Answer::Kind::kFenced, leases_.standing(command.fence), command.fence};
+      return {ApplyResult::Kind::kFenced, leases_.standing(command.fence), command.fence};
     }
   }
-  Answer answer{Answer::Kind::kDone, revision_, ""};
-  const bool one = command.items.size() == 1;
+  ApplyResult answer{ApplyResult::Kind::kApplied, revision_, ""};
+  const bool one = command.mutations.size() == 1;
   switch (command.kind) {
     case Command::Kind::kWrite:
-      if (const auto refused = refusal(command.items)) {
+      if (const auto refused = refusal(command.mutations)) {
         answer = *refused;
         break;
       }
-      for (const Item& item : command.items) write(index, item);
+      for (const Mutation& item : command.mutations) write(index, item);
       answer.revision = revision_;
       break;
     case Command::Kind::kRegister:
-      if (!one || !command.items[0].entry || command.items[0].entry->ttl_ms <= 0) {
-        answer.kind = Answer::Kind::kUnknown;
+      if (!one || !command.mutations[0].entry || command.mutations[0].entry->ttl_ms <= 0) {
+        answer.kind = ApplyResult::Kind::kUnknown;
         break;
       }
       {
-        Entry entry = *command.items[0].entry;
+        Entry entry = *command.mutations[0].entry;
         entry.owner.clear();  // it speaks for itself from now on
-        entry.said.clear();
-        entry.drained = false;
-        const auto it = entries_.find(command.items[0].id);
+        entry.source_state.clear();
+        entry.drained_by_operator = false;
+        const auto it = entries_.find(command.mutations[0].id);
         // Drained by somebody else: it stays so until they say otherwise.
-        if (it != entries_.end() && it->second.phase == "leaving" && !lapsed_.contains(it->first) &&
-            (it->second.owner.empty() || it->second.drained))
-          entry.phase = it->second.phase;
-        set(index, command.items[0].id, entry);
-        lapsed_.erase(command.items[0].id);
-        due_[command.items[0].id] = now_ + entry.ttl_ms;
+        if (it != entries_.end() && it->second.state == "leaving" && !lapsed_.contains(it->first) &&
+            (it->second.owner.empty() || it->second.drained_by_operator))
+          entry.state = it->second.state;
+        set(index, command.mutations[0].id, entry);
+        lapsed_.erase(command.mutations[0].id);
+        due_[command.mutations[0].id] = now_ + entry.ttl_ms;
       }
       answer.revision = revision_;
       break;
     case Command::Kind::kRenew: {
-      const auto it = one ? entries_.find(command.items[0].id) : entries_.end();
+      const auto it = one ? entries_.find(command.mutations[0].id) : entries_.end();
       if (it == entries_.end() || !due_.contains(it->first)) {
-        answer = {Answer::Kind::kUnknown, revision_, one ? command.items[0].id : ""};
+        answer = {ApplyResult::Kind::kUnknown, revision_, one ? command.mutations[0].id : ""};
         break;
       }
       due_[it->first] = now_ + it->second.ttl_ms;
       if (lapsed_.erase(it->first) > 0) {  // it was only late
         Entry entry = it->second;
-        entry.phase = "active";
+        entry.state = "active";
         set(index, entry.id, entry);
       }
       answer.revision = revision_;
@@ -333,7 +333,7 @@
       forget_sources();
       answer.revision = revision_;
       break;
-    case Command::Kind::kFound:
+    case Command::Kind::kBootstrap:
       if (identity_.empty()) {
         found(at, command);
         leases_.begin(now_);  // holders of the table before may still act
@@ -351,18 +351,18 @@
     case Command::Kind::kLease:
       // Each call is safe to repeat, and must see the table as it is: no answer is remembered.
       if (identity_.empty()) {
-        answer.lease = {LeaseAnswer::Kind::kRefused, 0, "", 0, false, "", leases_.limits().most_ttl_ms};
+        answer.lease = {LeaseResult::Kind::kRefused, 0, "", 0, false, "", leases_.limits().most_ttl_ms};
       } else {
         answer.lease = leases_.apply(index, now_, command.lease);
       }
       return answer;
-    case Command::Kind::kLead:
+    case Command::Kind::kLeaderElected:
       if (command.number > 0) leases_.set_most_ttl(static_cast<Millis>(command.number));
       leases_.lead(now_);
       break;
     case Command::Kind::kMirror:
       if (late(command)) {
-        answer = {Answer::Kind::kConflict, sources_.at(command.text).serial, command.text};
+        answer = {ApplyResult::Kind::kConflict, sources_.at(command.text).serial, command.text};
         break;
       }
       mirror(index, command);
@@ -386,7 +386,7 @@
   requests_.clear();
   sources_.clear();
   drains_.clear();
-  for (const Item& item : command.items) {
+  for (const Mutation& item : command.mutations) {
     if (!item.entry) drains_[item.id] = base_ + at;
     if (item.entry && !item.entry->owner.empty()) sources_[item.entry->owner] = {0, now_, 0, 0};
     set(base_ + at, item.id, item.entry);
@@ -415,17 +415,17 @@
   for (const Change& c : changes_) changes.push_back({c.revision, c.id, pack(c.entry), pack(c.last)});
   json answers = json::array();
   for (const std::string& request : requests_) {
-    const Answer& a = answers_.at(request);
+    const ApplyResult& a = answers_.at(request);
     answers.push_back({request, static_cast<int>(a.kind), a.revision, a.id});
   }
   json sources = json::object();
   for (const auto& [name, source] : sources_)
     sources[name] = {source.revision, source.confirmed_ms, source.token, source.serial};
-  const json limits = {limits_.kept_changes,  limits_.kept_requests, limits_.leave_ms,
-                       limits_.lapse_span_ms, limits_.lapse_share,   limits_.lapse_least};
+  const json limits = {limits_.kept_changes,     limits_.kept_requests,     limits_.leave_ms,
+                       limits_.expiry_window_ms, limits_.max_expired_share, limits_.expired_always_allowed};
   return to_bytes({kFormat, limits, base_, revision_, compacted_, now_, identity_, members_, entries, due_,
-                   lapses_, held_, changes, answers, lapsed_, pack(leases_.limits()), leases_.pack(), sources,
-                   drains_});
+                   lapses_, expiry_paused_, changes, answers, lapsed_, pack(leases_.limits()), leases_.pack(),
+                   sources, drains_});
 }
 
 State State::restore(const std::string& bytes) {
@@ -444,14 +444,14 @@
   for (const json& entry : j.at(8)) out.entries_[entry.at(0)] = unpack(entry);
   out.due_ = j.at(9).get<std::map<std::string, Millis>>();
   out.lapses_ = j.at(10).get<std::deque<Millis>>();
-  out.held_ = j.at(11);
+  out.expiry_paused_ = j.at(11);
   for (const json& c : j.at(12))
     out.changes_.push_back({c.at(0), c.at(1), unpack_some(c.at(2)), unpack(c.at(3))});
   for (const json& a : j.at(13))
-    out.remember(a.at(0), {static_cast<Answer::Kind>(a.at(1).get<int>()), a.at(2), a.at(3)});
+    out.remember(a.at(0), {static_cast<ApplyResult::Kind>(a.at(1).get<int>()), a.at(2), a.at(3)});
   out.lapsed_ = j.at(14).get<std::set<std::string>>();
   if (j.at(0) == 1) return out;
-  out.leases_ = Leases::unpack(j.at(16), unpack_limits(j.at(15)));
+  out.leases_ = LeaseTable::unpack(j.at(16), unpack_limits(j.at(15)));
   for (const auto& [name, source] : j.at(17).items()) {
     out.sources_[name] = {source.at(0), source.at(1), source.size() > 3 ? source.at(2).get<Token>() : 0,
                           source.size() > 3 ? source.at(3).get<uint64_t>() : 0};
@@ -466,15 +466,20 @@
 }
 
 json State::member(const Entry& e, const std::string& phase) {
-  return {
-      {"id", e.id},     {"host_port", e.host_port}, {"locality", e.locality}, {"flavor", e.flavor},
-      {"cell", e.cell}, {"phase", phase},           {"size", e.size},         {"up_since_ms", e.up_since_ms}};
+  return {{"id", e.id},
+          {"host_port", e.host_port},
+          {"locality", e.locality},
+          {"flavor", e.kind},
+          {"cell", e.group},
+          {"phase", phase},
+          {"size", e.weight},
+          {"up_since_ms", e.up_since_ms}};
 }
 
 json State::list() const {
   json out = {
       {"revision", revision_}, {"complete", true}, {"identity", identity_}, {"members", json::array()}};
-  for (const auto& [id, entry] : entries_) out["members"].push_back(member(entry, entry.phase));
+  for (const auto& [id, entry] : entries_) out["members"].push_back(member(entry, entry.state));
   return out;
 }
 
@@ -482,7 +487,7 @@
   json out = {
       {"revision", revision_}, {"complete", false}, {"identity", identity_}, {"members", json::array()}};
   for (const Change& change : changes) {
-    out["members"].push_back(change.entry ? member(*change.entry, change.entry->phase)
+    out["members"].push_back(change.entry ? member(*change.entry, change.entry->state)
                                           : member(change.last, "left"));
   }
   return out;
--- a/registry/state.h
+++ b/registry/state.h
@@ -23,12 +23,12 @@
 using Revision = uint64_t;
 
 struct Limits {
-  size_t kept_changes = 10'000;   // for watches; older ones are compacted
-  size_t kept_requests = 10'000;  // answers to clients that may ask again
-  Millis leave_ms = 10'000;       // how long what has lapsed is listed as leaving before it is gone
-  Millis lapse_span_ms = 10'000;  // in any such span
-  double lapse_share = 0.3;       // not more than this part of the registrations may lapse
-  size_t lapse_least = 2;         // but so many always may
+  size_t kept_changes = 10'000;       // for watches; older ones are compacted
+  size_t kept_requests = 10'000;      // answers to clients that may ask again
+  Millis leave_ms = 10'000;           // how long what has lapsed is listed as leaving before it is gone
+  Millis expiry_window_ms = 10'000;   // in any such span
+  double max_expired_share = 0.3;     // not more than this part of the registrations may lapse
+  size_t expired_always_allowed = 2;  // but so many always may
   bool operator==(const Limits&) const = default;
 };
 
@@ -37,22 +37,22 @@
   std::string id;
   std::string host_port;
   std::string locality;
-  std::string flavor;
-  int cell = 0;
-  std::string phase = "active";  // active, leaving; what has left is not held
-  double size = 0;
+  std::string kind;
+  int group = 0;
+  std::string state = "active";  // active, leaving; what has left is not held
+  double weight = 0;
   Millis up_since_ms = 0;
   Millis ttl_ms = 0;      // registrations: to be renewed within this time; 0: it stays until it is taken out
   Revision revision = 0;  // of its last change
   std::string owner{};    // the source that it is mirrored from; empty: an operator or deployment
   // Of mirrored ones: what the source says, and whether an operator drains it. `phase` is what comes of both.
-  std::string said{};
-  bool drained = false;
+  std::string source_state{};
+  bool drained_by_operator = false;
   bool operator==(const Entry&) const = default;
 };
 
 // For an id: what it is from now on, or nothing where it goes.
-struct Item {
+struct Mutation {
   std::string id;
   std::optional<Entry> entry;
   std::optional<Revision> if_match;  // only if its last change has this revision; 0: only if there is none
@@ -61,12 +61,23 @@
 struct Command {
   // kFound begins the list if there is none; kRestore puts another in its place, the leases stand. kLead is
   // the first of each leader.
-  enum class Kind { kWrite, kRegister, kRenew, kTick, kFound, kRestore, kMember, kLease, kLead, kMirror };
+  enum class Kind {
+    kWrite,
+    kRegister,
+    kRenew,
+    kTick,
+    kBootstrap,
+    kRestore,
+    kMember,
+    kLease,
+    kLeaderElected,
+    kMirror
+  };
   Kind kind = Kind::kTick;
   Millis now_ms = 0;
-  std::string request;      // a client's name for it; one that comes again gets the first one's answer
-  std::vector<Item> items;  // kWrite: all or none; kRegister, kRenew: one; kRestore: the whole list, and
-                            // where there is no entry, the
+  std::string request;  // a client's name for it; one that comes again gets the first one's answer
+  std::vector<Mutation> mutations;  // kWrite: all or none; kRegister, kRenew: one; kRestore: the whole list,
+                                    // and where there is no entry, the
   // id of one that has left and is drained once it comes back; kMirror: what the source says
   // kFound, kRestore: the list's name, which no other list has, and what its revisions are above.
   // kMember: a member's HTTP address, empty where it goes, and its number.
@@ -76,10 +87,10 @@
   // kMirror: the source's name, and the revision of its list.
   std::string text;
   uint64_t number = 0;
-  LeaseCall lease = {};   // kLease
-  std::string fence{};    // the lease under which this is written: it must stand, or nothing changes
-  Token fence_token = 0;  // and its grant
-  bool whole = false;     // kMirror: what the source does not name has left
+  LeaseCommand lease = {};  // kLease
+  std::string fence{};      // the lease under which this is written: it must stand, or nothing changes
+  Token fence_token = 0;    // and its grant
+  bool whole = false;       // kMirror: what the source does not name has left
   uint64_t serial =
       0;  // kMirror: grows with each call of a grant, so that a late one changes nothing; 0: none
 };
@@ -88,16 +99,16 @@
 std::string encode(const Command& command);
 Command decode(const std::string& bytes);
 
-struct Answer {
-  enum class Kind { kDone, kConflict, kUnknown, kFenced };
-  Kind kind = Kind::kDone;
+struct ApplyResult {
+  enum class Kind { kApplied, kConflict, kUnknown, kFenced };
+  Kind kind = Kind::kApplied;
   // kDone: of the change, or of the state where nothing changed; kConflict: of the entry, or the serial
   // that a source is at; kFenced: the token
   // of the grant that stands, 0 where there is none.
   Revision revision = 0;
   std::string id;                         // kConflict, kUnknown, kFenced: which
-  std::optional<LeaseAnswer> lease = {};  // kLease
-  bool operator==(const Answer&) const = default;
+  std::optional<LeaseResult> lease = {};  // kLease
+  bool operator==(const ApplyResult&) const = default;
 };
 
 struct Change {
@@ -122,7 +133,7 @@
   explicit State(Limits limits = {}) : limits_(limits) {}
 
   // In the order of the log; an index grows with each call. For kConflict and kFenced nothing has changed.
-  Answer apply(uint64_t index, const Command& command);
+  ApplyResult apply(uint64_t index, const Command& command);
 
   Revision revision() const { return revision_; }    // of the last change
   Revision compacted() const { return compacted_; }  // changes up to it are not held any more
@@ -135,8 +146,8 @@
   Millis source_ms() const;  // since the source that is silent for longest was heard; -1: there is none
   // Drained by an operator, and left since: drained again should they come back.
   const std::map<std::string, Revision>& drains() const { return drains_; }
-  const Leases& leases() const { return leases_; }
-  bool held() const { return held_; }  // expiry stands still: too much would lapse at once
+  const LeaseTable& leases() const { return leases_; }
+  bool expiry_paused() const { return expiry_paused_; }  // expiry stands still: too much would lapse at once
 
   // What changed after a revision, by revision, the newest of each id only; nothing where that has been
   // compacted or has never been: the whole list is wanted.
@@ -152,16 +163,16 @@
   static nlohmann::json member(const Entry& entry, const std::string& phase);
 
  private:
-  std::optional<Answer> refusal(const std::vector<Item>& items) const;
+  std::optional<ApplyResult> refusal(const std::vector<Mutation>& items) const;
   void set(Revision index, const std::string& id, std::optional<Entry> entry);
   void expire(Revision index);
-  void write(Revision index, const Item& item);
+  void write(Revision index, const Mutation& item);
   void mirror(Revision index, const Command& command);
   void leave(Revision index, const std::string& id);
   bool late(const Command& command) const;
   void forget_sources();
   void found(uint64_t at, const Command& command);
-  void remember(const std::string& request, const Answer& answer);
+  void remember(const std::string& request, const ApplyResult& answer);
 
   Limits limits_;
   Revision base_ = 0;  // revisions are so much above the log's indexes
@@ -175,12 +186,12 @@
       due_;                       // registrations: when they lapse; of those that have: when they are gone
   std::set<std::string> lapsed_;  // leaving because they were not renewed, not because somebody said so
   std::deque<Millis> lapses_;     // when some lapsed, within the span
-  bool held_ = false;
+  bool expiry_paused_ = false;
   std::deque<Change> changes_;
-  Leases leases_;
+  LeaseTable leases_;
   std::map<std::string, Source> sources_;
   std::map<std::string, Revision> drains_;  // since when
-  std::map<std::string, Answer> answers_;
+  std::map<std::string, ApplyResult> answers_;
   std::deque<std::string> requests_;  // in their order
 };
 
