--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -12,18 +12,18 @@
 
 }  // namespace
 
-Hub::Hub(boost::asio::io_context& io, const State& state, Late late)
+WatchBroadcaster::WatchBroadcaster(boost::asio::io_context& io, const State& state, Late late)
     : io_(io), state_(state), late_(std::move(late)), beat_(io) {
   quiet();
 }
 
-Hub::~Hub() {
+WatchBroadcaster::~WatchBroadcaster() {
   *alive_ = false;
   for (Watcher& watcher : watchers_) watcher.stream->close();
 }
 
-void Hub::watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head, int64_t index,
-                const std::string& identity) {
+void WatchBroadcaster::watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head,
+                             int64_t index, const std::string& identity) {
   const auto at = watchers_.emplace(watchers_.end());
   at->slot = slots_++ % kSlots;
   at->known = index < 0 ? 0 : static_cast<Revision>(index);
@@ -41,7 +41,7 @@
 }
 
 // What it has not been told, if its connection takes more.
-void Hub::advance(Watcher& watcher) {
+void WatchBroadcaster::advance(Watcher& watcher) {
   if (watcher.stream == nullptr || !watcher.stream->idle()) return;
   if (!watcher.all && watcher.known > state_.revision()) {
     if (std::chrono::steady_clock::now() < watcher.ahead_until) return;
@@ -63,19 +63,19 @@
   watcher.stream->write(std::move(chunk));
 }
 
-void Hub::changed() {
+void WatchBroadcaster::changed() {
   if (std::exchange(passing_, true)) return;
   boost::asio::post(io_, [this, alive = alive_] {
     if (*alive) pass();
   });
 }
 
-void Hub::pass() {
+void WatchBroadcaster::pass() {
   passing_ = false;
   for (Watcher& watcher : watchers_) advance(watcher);
 }
 
-net::Shared Hub::since(Revision revision) {
+net::Shared WatchBroadcaster::since(Revision revision) {
   if (encoded_at_ != state_.revision()) {
     since_.clear();
     encoded_at_ = state_.revision();
@@ -90,7 +90,7 @@
   return since_[revision] = chunk;
 }
 
-net::Shared Hub::whole() {
+net::Shared WatchBroadcaster::whole() {
   if (whole_line_ == nullptr || whole_at_ != state_.revision()) {
     whole_at_ = state_.revision();
     whole_line_ = std::make_shared<std::string>(state_.list().dump() + "\n");
@@ -100,7 +100,7 @@
   return whole_line_;
 }
 
-void Hub::quiet() {
+void WatchBroadcaster::quiet() {
   static const net::Shared kEmpty = std::make_shared<std::string>(net::http_chunk("\n"));
   net::Shared line = kEmpty;
   if (const nlohmann::json late = late_(); !late.is_null()) {
--- a/registry/watch_broadcaster.h
+++ b/registry/watch_broadcaster.h
@@ -14,14 +14,14 @@
 
 namespace turntally::registry {
 
-class Hub {
+class WatchBroadcaster {
  public:
   // `late`: what to tell where this member has not heard from a majority, or the list's source is lost, for
   // long; null while all is well.
   using Late = std::function<nlohmann::json()>;
 
-  Hub(boost::asio::io_context& io, const State& state, Late late);
-  ~Hub();
+  WatchBroadcaster(boost::asio::io_context& io, const State& state, Late late);
+  ~WatchBroadcaster();
 
   // From the revision that the client knows; -1: none. `identity` of the list that it knows; empty: not told.
   void watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head, int64_t index,
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -77,14 +77,14 @@
 
 }  // namespace
 
-Handed parse_put(const std::vector<std::string>& words) {
+SubmittedMessage parse_put(const std::vector<std::string>& words) {
   if (words.size() != 5) throw std::invalid_argument("MSG.PUT takes a key, an id, a list and a body");
-  Handed out;
-  out.about = about(words[1]);
+  SubmittedMessage out;
+  out.ordering_key = about(words[1]);
   out.id = words[2];
   if (!is_name(out.id)) throw std::invalid_argument("unreadable id");
   out.destination = -1;
-  out.life = -1;
+  out.time_to_live = -1;
   std::string_view rest = words[3];
   while (!rest.empty()) {
     const std::string_view item = rest.substr(0, rest.find(','));
@@ -96,13 +96,13 @@
     if (name == "c") out.message_class = value;
     if (name == "t") out.tenant = value;
     if (name == "k") out.key = value;
-    if (name == "d") out.life = 1000 * number(value, kMostLife);
+    if (name == "d") out.time_to_live = 1000 * number(value, kMostLife);
     if (name == "dest") out.destination = static_cast<int>(number(value, 1'000'000));
   }
   if (!is_title(out.message_class)) throw std::invalid_argument("unreadable class");
   if (!out.tenant.empty() && !is_title(out.tenant)) throw std::invalid_argument("unreadable tenant");
   if (!out.key.empty() && !is_name(out.key)) throw std::invalid_argument("unreadable idempotency key");
-  if (out.life < 0) throw std::invalid_argument("no d");
+  if (out.time_to_live < 0) throw std::invalid_argument("no d");
   if (out.destination < 0) throw std::invalid_argument("no dest");
   out.body = words[4];
   return out;
@@ -287,8 +287,8 @@
     if (command != "MSG.PUT") return answer("-ERR unknown command");
     if (owner_ == nullptr) return;
     try {
-      Handed handed = parse_put(words);
-      handed.life = std::max<Time>(0, handed.life - (steady_now() - came_));
+      SubmittedMessage handed = parse_put(words);
+      handed.time_to_live = std::max<Time>(0, handed.time_to_live - (steady_now() - came_));
       owner_->put_(std::move(handed),
                    [self = shared_from_this()](const std::string& line) { self->answer(line); });
     } catch (const std::invalid_argument& error) {
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -15,12 +15,12 @@
 namespace turntally::relay {
 
 // Reads the words of MSG.PUT; throws std::invalid_argument with a line for the client.
-Handed parse_put(const std::vector<std::string>& words);
+SubmittedMessage parse_put(const std::vector<std::string>& words);
 
 class Clients {
  public:
   using Answer = std::function<void(std::string line)>;  // called once, with a RESP line without its end
-  using Put = std::function<void(Handed message, Answer answer)>;
+  using Put = std::function<void(SubmittedMessage message, Answer answer)>;
 
   // For another process: a connection, with what it must know of it.
   using Give = std::function<void(const std::string& state, int descriptor)>;
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -94,10 +94,10 @@
 }
 
 // "fleet": {"registry": ["127.0.0.1:7101", …], "hold_ms": 30000, "most_removed": 0.3}; off without it.
-std::optional<registry::FollowSettings> read_fleet(const json& root, const Config& config) {
+std::optional<registry::ListFollowerSettings> read_fleet(const json& root, const Config& config) {
   const auto it = root.find("fleet");
   if (it == root.end()) return {};
-  registry::FollowSettings out;
+  registry::ListFollowerSettings out;
   for (const auto& [key, value] : it->items()) {
     if (key != "registry" && key != "hold_ms" && key != "most_removed")
       throw BadConfig("fleet." + key + " is not known");
@@ -110,7 +110,7 @@
   if (out.guard.hold_ms < 0) throw BadConfig("fleet.hold_ms is under 0");
   if (!(out.guard.most_removed >= 0 && out.guard.most_removed <= 1))
     throw BadConfig("fleet.most_removed is not 0 to 1");
-  out.callers = config.settings.relays;
+  out.callers = config.settings.relay_count;
   out.seed = config.seed;
   return out;
 }
--- a/relay/config.h
+++ b/relay/config.h
@@ -16,9 +16,9 @@
   std::string name;
   tcp::endpoint listen;
   tcp::endpoint discovery;
-  std::optional<tcp::endpoint> control;           // the operators' address
-  std::optional<registry::FollowSettings> fleet;  // the registry that is followed in place of discovery
-  std::string state;                              // the folder that lasts
+  std::optional<tcp::endpoint> control;                 // the operators' address
+  std::optional<registry::ListFollowerSettings> fleet;  // the registry that is followed in place of discovery
+  std::string state;                                    // the folder that lasts
   uint64_t seed = 0;
   size_t sockets = 1024;
   size_t disk_bytes = 0;
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -61,7 +61,7 @@
 
 // The lease under which a call is made, if any. A part of a claim is refused rather than passed over: the
 // call would be carried out as if an operator had made it by hand.
-std::optional<Claim> claim_of(const http::request<http::string_body>& request, OperatorCall::What what) {
+std::optional<LeaseClaim> claim_of(const http::request<http::string_body>& request, OperatorCall::What what) {
   const auto text_of = [&](const char* name) {
     const auto [first, last] = request.equal_range(name);
     if (first == last) return std::optional<std::string>();
@@ -74,8 +74,8 @@
   if (only && *only != "1") throw ClaimUnreadable("X-Lease-Fence-Only is not 1");
   if (!lease && !token && !only && what != OperatorCall::What::kFence) return {};
   if (!lease || !token) throw ClaimUnreadable(lease ? "X-Lease-Token is missing" : "X-Lease is missing");
-  Claim out = parse_claim(*lease, *token);
-  out.only = only.has_value() || what == OperatorCall::What::kFence;
+  LeaseClaim out = parse_claim(*lease, *token);
+  out.raise_only = only.has_value() || what == OperatorCall::What::kFence;
   return out;
 }
 
--- a/relay/control.h
+++ b/relay/control.h
@@ -19,7 +19,7 @@
   enum class What { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate, kFence };
   What what = What::kReady;
   std::string id;  // of the endpoint, where the call names one
-  std::optional<Claim> claim;
+  std::optional<LeaseClaim> claim;
 };
 
 struct OperatorReply {
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -45,7 +45,7 @@
   return handle != handles_.end() && hosts_.at(handle->second).member.listing >= listed.member.listing;
 }
 
-void Directory::set(const ListedHost& listed, Time now, std::vector<policy::Member>& changed) {
+void Directory::set(const ListedHost& listed, Time now, std::vector<policy::EndpointInfo>& changed) {
   const bool left = listed.member.listing == policy::Listing::kGone;
   auto handle = handles_.find(listed.id);
   if (handle == handles_.end()) {
@@ -64,10 +64,10 @@
   }
 }
 
-std::optional<policy::MembersChanged> Directory::apply(const HostList& list, Time now) {
+std::optional<policy::EndpointListChanged> Directory::apply(const HostList& list, Time now) {
   const bool behind = list.revision < revision_;
   revision_ = std::max(revision_, list.revision);
-  auto members = std::make_shared<std::vector<policy::Member>>();
+  auto members = std::make_shared<std::vector<policy::EndpointInfo>>();
   if (list.complete && !behind) {
     std::set<std::string> listed;
     for (const ListedHost& host : list.hosts) listed.insert(host.id);
@@ -82,9 +82,9 @@
     if (!behind || !brings_back(listed)) set(listed, now, *members);
   }
   if (members->empty()) return {};
-  policy::MembersChanged out;
-  out.form = policy::MembersChanged::Form::kDelta;
-  out.members = std::move(members);
+  policy::EndpointListChanged out;
+  out.form = policy::EndpointListChanged::Form::kDelta;
+  out.endpoints = std::move(members);
   return out;
 }
 
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -23,9 +23,9 @@
 struct ListedHost {
   std::string id;
   tcp::endpoint address;
-  policy::Member member;  // its endpoint is filled in by the Directory
-  Time up_since = 0;      // wall clock of the platform; 0: long ago
-  std::string text;       // the entry as it came
+  policy::EndpointInfo member;  // its endpoint is filled in by the Directory
+  Time up_since = 0;            // wall clock of the platform; 0: long ago
+  std::string text;             // the entry as it came
 };
 
 struct HostList {
@@ -49,7 +49,7 @@
  public:
   // Takes a list over; returns what to tell the module, if it changes anything. An agent may be behind what
   // was told before: its list then only moves hosts on, and brings none back.
-  std::optional<policy::MembersChanged> apply(const HostList& list, Time now);
+  std::optional<policy::EndpointListChanged> apply(const HostList& list, Time now);
 
   // What is listed, read with other names for zones and kinds.
   HostList read_again(const ListNames& names) const;
@@ -77,7 +77,7 @@
 
  private:
   bool brings_back(const ListedHost& listed) const;
-  void set(const ListedHost& listed, Time now, std::vector<policy::Member>& changed);
+  void set(const ListedHost& listed, Time now, std::vector<policy::EndpointInfo>& changed);
 
   int64_t revision_ = -1;
   uint32_t last_handle_ = 0;
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -211,7 +211,7 @@
   pause_.cancel();
 }
 
-void Notices::add(Notice notice) {
+void Notices::add(FinalAnswer notice) {
   queue_.push_back(std::move(notice));
   if (queue_.size() == 1) proceed();
 }
@@ -232,9 +232,9 @@
   if (out_ > 0 || queue_.empty()) return;
   std::string body;
   for (; out_ < std::min(queue_.size(), kMostNotices); ++out_) {
-    const Notice& notice = queue_[out_];
+    const FinalAnswer& notice = queue_[out_];
     nlohmann::json line = {{"id", notice.id}, {"state", notice.returned ? "returned" : "failed"}};
-    if (notice.returned && notice.after > 0) line["after_ms"] = (notice.after + 999) / 1000;
+    if (notice.returned && notice.retry_after > 0) line["after_ms"] = (notice.retry_after + 999) / 1000;
     body += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
   }
   if (!post_) post_ = std::make_shared<Post>(*this);
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -80,7 +80,7 @@
   Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent);
   ~Notices();
 
-  void add(Notice notice);
+  void add(FinalAnswer notice);
   // What is unanswered goes to the new address, at once.
   void move(const tcp::endpoint& address);
   bool empty() const { return queue_.empty(); }
@@ -98,7 +98,7 @@
   boost::asio::steady_timer pause_;
   std::chrono::milliseconds back_off_;
   std::chrono::milliseconds patience_;  // how long the next request may go without its answer
-  std::deque<Notice> queue_;
+  std::deque<FinalAnswer> queue_;
   size_t out_ = 0;  // notices at the front that are out
   std::shared_ptr<Post> post_;
 };
--- a/relay/fence.cpp
+++ b/relay/fence.cpp
@@ -19,7 +19,7 @@
     : FenceError("lease_unreadable", Family::kMisuse, what,
                  "send X-Lease and X-Lease-Token as the registry granted them, or neither of them") {}
 
-LeaseFenced::LeaseFenced(const Claim& claim, Token highest)
+LeaseFenced::LeaseFenced(const LeaseClaim& claim, Token highest)
     : FenceError("lease_fenced", Family::kRefused,
                  "token " + std::to_string(claim.token) + " of lease " + claim.lease +
                      " is over: this relay has seen " + std::to_string(highest),
@@ -27,8 +27,8 @@
 
 LeaseNamesFull::LeaseNamesFull(const std::string& lease)
     : FenceError("lease_names_full", Family::kRefused,
-                 "lease " + lease + " would be one more than the " + std::to_string(Fences::kMostLeases) +
-                     " that a relay remembers",
+                 "lease " + lease + " would be one more than the " +
+                     std::to_string(FencingTokens::kMostLeases) + " that a relay remembers",
                  "use a lease of before; only an empty state folder forgets them") {}
 
 FenceNotKept::FenceNotKept(const std::string& lease)
@@ -36,14 +36,14 @@
                  "the token of lease " + lease + " could not be written to the state folder",
                  "make room on the relay's disk and call again") {}
 
-Claim parse_claim(const std::string& lease, const std::string& token) {
+LeaseClaim parse_claim(const std::string& lease, const std::string& token) {
   const auto printable = [](char c) { return c >= ' ' && c <= '~'; };
-  if (lease.empty() || lease.size() > Fences::kMostName ||
+  if (lease.empty() || lease.size() > FencingTokens::kMostName ||
       !std::all_of(lease.begin(), lease.end(), printable)) {
-    throw ClaimUnreadable("X-Lease is no name of 1 to " + std::to_string(Fences::kMostName) +
+    throw ClaimUnreadable("X-Lease is no name of 1 to " + std::to_string(FencingTokens::kMostName) +
                           " printable characters");
   }
-  Claim out{lease, 0, false};
+  LeaseClaim out{lease, 0, false};
   const char* end = token.data() + token.size();
   const auto [rest, error] = std::from_chars(token.data(), end, out.token);
   if (error != std::errc{} || rest != end || out.token == 0) {
@@ -52,7 +52,7 @@
   return out;
 }
 
-void Fences::raise(const Claim& claim) {
+void FencingTokens::raise(const LeaseClaim& claim) {
   const auto found = highest_.find(claim.lease);
   if (found == highest_.end()) {
     if (highest_.size() >= kMostLeases) throw LeaseNamesFull(claim.lease);
--- a/relay/fence.h
+++ b/relay/fence.h
@@ -12,10 +12,10 @@
 
 using Token = uint64_t;
 
-struct Claim {
+struct LeaseClaim {
   std::string lease;
   Token token = 0;
-  bool only = false;  // raises the fence and does nothing else
+  bool raise_only = false;  // raises the fence and does nothing else
 };
 
 class FenceError : public net::Error {
@@ -33,7 +33,7 @@
 
 class LeaseFenced : public FenceError {
  public:
-  LeaseFenced(const Claim& claim, Token highest);
+  LeaseFenced(const LeaseClaim& claim, Token highest);
   int status() const override { return 409; }
 };
 
@@ -50,16 +50,16 @@
 };
 
 // From the texts of X-Lease and X-Lease-Token. Throws ClaimUnreadable.
-Claim parse_claim(const std::string& lease, const std::string& token);
+LeaseClaim parse_claim(const std::string& lease, const std::string& token);
 
-class Fences {
+class FencingTokens {
  public:
   static constexpr size_t kMostLeases = 64;  // a name that was seen once counts for good
   static constexpr size_t kMostName = 200;   // as the registry has it
 
   void recall(const std::string& lease, Token highest) { highest_[lease] = highest; }
   // Throws LeaseFenced or LeaseNamesFull, and nothing has changed.
-  void raise(const Claim& claim);
+  void raise(const LeaseClaim& claim);
 
  private:
   std::map<std::string, Token> highest_;
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -88,8 +88,8 @@
     return false;
   }
   before_.assign(socket.release());
-  auto folder = next();
-  if (folder && folder->kind == Parcel::kFolder && folder->descriptor.get() >= 0) {
+  auto folder = next_frame();
+  if (folder && folder->kind == HandoverFrame::kFolder && folder->descriptor.get() >= 0) {
     lock_ = std::move(folder->descriptor);
     return true;
   }
@@ -98,7 +98,7 @@
 }
 
 // A signal may come meanwhile: it is dealt with once the process has begun.
-std::optional<Parcel> Handover::next() {
+std::optional<HandoverFrame> Handover::next_frame() {
   using std::chrono::milliseconds;
   const auto until = std::chrono::steady_clock::now() + kMostWait;
   pollfd waiting{before_.native_handle(), POLLIN, 0};
@@ -111,7 +111,7 @@
   return receive(before_);
 }
 
-bool Handover::send(Stream& to, Parcel::Kind kind, const std::string& text, int descriptor) {
+bool Handover::send(Stream& to, HandoverFrame::Kind kind, const std::string& text, int descriptor) {
   if (!to.is_open()) return false;
   char first = kind;
   iovec parts[2] = {{&first, 1}, {const_cast<char*>(text.data()), text.size()}};
@@ -135,7 +135,7 @@
   return sent == static_cast<ssize_t>(1 + text.size());
 }
 
-std::optional<Parcel> Handover::receive(Stream& from) {
+std::optional<HandoverFrame> Handover::receive(Stream& from) {
   std::vector<char> bytes(kMostParcel);
   iovec part{bytes.data(), bytes.size()};
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))];
@@ -150,8 +150,8 @@
     got = ::recvmsg(from.native_handle(), &message, MSG_CMSG_CLOEXEC);
   } while (got < 0 && (errno == EINTR || (errno == ECONNRESET && !std::exchange(reset, true))));
   if (got <= 0) return {};
-  Parcel out;
-  out.kind = static_cast<Parcel::Kind>(bytes[0]);
+  HandoverFrame out;
+  out.kind = static_cast<HandoverFrame::Kind>(bytes[0]);
   out.text.assign(bytes.data() + 1, static_cast<size_t>(got) - 1);
   const cmsghdr* head = CMSG_FIRSTHDR(&message);
   if (head != nullptr && head->cmsg_level == SOL_SOCKET && head->cmsg_type == SCM_RIGHTS) {
@@ -207,7 +207,7 @@
 }
 
 // One that takes nothing any more must not hold this process up with each parcel.
-bool Handover::give(Parcel::Kind kind, const std::string& text, int descriptor) {
+bool Handover::send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor) {
   if (send(after_, kind, text, descriptor)) return true;
   if (after_.is_open()) after_.close();
   return false;
@@ -215,7 +215,7 @@
 
 bool Handover::give_folder() {
   listener_.close();  // the successor offers the next one under the same name
-  if (!give(Parcel::kFolder, "", lock_.get())) return false;
+  if (!send_frame(HandoverFrame::kFolder, "", lock_.get())) return false;
   lock_ = Descriptor();
   return true;
 }
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -30,7 +30,7 @@
   int fd_;
 };
 
-struct Parcel {
+struct HandoverFrame {
   enum Kind : char {
     kFolder = 'F',    // the right to the state folder
     kCall = 'C',      // a call that is still out
@@ -46,7 +46,7 @@
 
 class Handover {
  public:
-  using Heard = std::function<void(std::optional<Parcel>)>;  // nothing: the other process is gone
+  using Heard = std::function<void(std::optional<HandoverFrame>)>;  // nothing: the other process is gone
 
   // Waits until the folder is this process's own: free, or given by its owner. Throws StateUnusable or
   // NotHandedOver if it becomes neither.
@@ -56,15 +56,17 @@
 
   // From the process before: the next parcel, waited for unless that process is gone or stalls; and all that
   // come later.
-  std::optional<Parcel> next();
+  std::optional<HandoverFrame> next_frame();
   void hear(Heard heard) { listen_to(before_, std::move(heard)); }
-  bool tell_before(Parcel::Kind kind, const std::string& text) { return send(before_, kind, text, -1); }
+  bool tell_before(HandoverFrame::Kind kind, const std::string& text) {
+    return send(before_, kind, text, -1);
+  }
 
   // Calls `asked` once, when a process asks to take over. It is then given parcels, kFolder first. Where the
   // platform has no local sockets nobody can ask: the log says so in one line.
   void offer(std::function<void()> asked);
   bool give_folder();
-  bool give(Parcel::Kind kind, const std::string& text, int descriptor = -1);
+  bool send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor = -1);
   void hear_successor(Heard heard) { listen_to(after_, std::move(heard)); }
   bool has_successor() const { return after_.is_open(); }
   void withdraw();  // it could not be given: the next that asks is waited for
@@ -73,8 +75,8 @@
   using Stream = boost::asio::posix::stream_descriptor;
 
   bool ask();
-  static bool send(Stream& to, Parcel::Kind kind, const std::string& text, int descriptor);
-  static std::optional<Parcel> receive(Stream& from);
+  static bool send(Stream& to, HandoverFrame::Kind kind, const std::string& text, int descriptor);
+  static std::optional<HandoverFrame> receive(Stream& from);
   void listen_to(Stream& from, Heard heard);
   void await_successor();
   void offer_later();  // sockets run short for a moment
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -160,7 +160,7 @@
     entry.message.body = in.text();
     if (in.more()) entry.message.tenant = in.text();  // none of these is in older records
     if (in.more()) entry.rules = in.number();
-    if (in.more()) entry.message.about = static_cast<uint64_t>(in.number());
+    if (in.more()) entry.message.ordering_key = static_cast<uint64_t>(in.number());
     places[id] = recovered_.size();
     recovered_.push_back(std::move(entry));
     places_[id] = ++order_;
@@ -174,13 +174,13 @@
     const Time sent = in.number();
     if (number >= entry.attempts) ++entry.begun;  // a call that needs a new connection is put on record again
     entry.attempts = number + 1;
-    Sent& attempt = entry.unsettled[number] = {sent, static_cast<int>(in.number()), ""};
+    RecordedAttempt& attempt = entry.unsettled[number] = {sent, static_cast<int>(in.number()), ""};
     if (in.more()) attempt.zone_name = in.text();  // not in older records
   } else if (kind == kNeverRan) {
     entry.unsettled.erase(static_cast<int>(in.number()));
   } else if (kind == kOwed) {
     const bool returned = in.number() != 0;
-    entry.owed = Notice{id, returned, in.number()};
+    entry.unacknowledged_answer = FinalAnswer{id, returned, in.number()};
   } else if (kind == kDone) {
     live_bytes_ -= kept.size() + kReserve;
     live_.erase(places_[id]);
@@ -236,7 +236,7 @@
   return done;
 }
 
-bool Journal::accepted(const Handed& m, Time due, int64_t rules) {
+bool Journal::record_accepted(const SubmittedMessage& m, Time due, int64_t rules) {
   Writer out(kAccepted, m.id);
   out.text(m.message_class)
       .text(m.key)
@@ -245,7 +245,7 @@
       .text(m.body)
       .text(m.tenant)
       .number(rules)
-      .number(static_cast<int64_t>(m.about));
+      .number(static_cast<int64_t>(m.ordering_key));
   const size_t bytes = kHeader + out.payload().size() + kReserve;
   if (static_cast<double>(live_bytes_ + bytes) > kAcceptPart * static_cast<double>(most_file_)) return false;
   places_[m.id] = ++order_;
@@ -259,7 +259,8 @@
   return false;
 }
 
-bool Journal::attempt(const std::string& id, int number, Time sent, int zone, const std::string& zone_name) {
+bool Journal::record_attempt(const std::string& id, int number, Time sent, int zone,
+                             const std::string& zone_name) {
   const auto place = places_.find(id);
   if (place == places_.end()) return false;
   Writer out(kAttempt, id);
@@ -274,15 +275,16 @@
   return false;
 }
 
-void Journal::never_ran(const std::string& id, int number) {
+void Journal::record_not_started(const std::string& id, int number) {
   append(id, Writer(kNeverRan, id).number(number).payload());
 }
 
-bool Journal::owed(const Notice& notice) {
-  return append(notice.id, Writer(kOwed, notice.id).number(notice.returned).number(notice.after).payload());
+bool Journal::record_final_answer(const FinalAnswer& notice) {
+  return append(notice.id,
+                Writer(kOwed, notice.id).number(notice.returned).number(notice.retry_after).payload());
 }
 
-void Journal::done(const std::string& id) {
+void Journal::record_acknowledged(const std::string& id) {
   const auto place = places_.find(id);
   if (place == places_.end()) return;
   live_bytes_ -= live_[place->second].size() + kReserve;
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -12,19 +12,19 @@
 
 namespace turntally::relay {
 
-struct Sent {  // an attempt that may have run
-  Time at = 0;
+struct RecordedAttempt {  // an attempt that may have run
+  Time sent_at = 0;
   int zone = 0;           // by its place in the settings of then
   std::string zone_name;  // empty: not told
 };
 
 struct Recovered {
-  Handed message;
-  Time due = 0;                   // by the DurableClock, as all times here
-  int attempts = 0;               // one more than the last one's number
-  int begun = 0;                  // of these, those that began a call
-  std::map<int, Sent> unsettled;  // attempts that may have run
-  std::optional<Notice> owed;
+  SubmittedMessage message;
+  Time due = 0;                              // by the DurableClock, as all times here
+  int attempts = 0;                          // one more than the last one's number
+  int begun = 0;                             // of these, those that began a call
+  std::map<int, RecordedAttempt> unsettled;  // attempts that may have run
+  std::optional<FinalAnswer> unacknowledged_answer;
   int64_t rules = 0;  // as told with it; 0: not told
 };
 
@@ -45,13 +45,14 @@
 
   // False: there is no room or it could not be written, and the message must not be taken on. `rules`: what
   // its class allows, by a number that the caller remembers.
-  bool accepted(const Handed& message, Time due, int64_t rules = 0);
+  bool record_accepted(const SubmittedMessage& message, Time due, int64_t rules = 0);
   // False: it could not be written, and the call must not start.
-  bool attempt(const std::string& id, int number, Time sent, int zone, const std::string& zone_name = {});
-  void never_ran(const std::string& id, int number);
+  bool record_attempt(const std::string& id, int number, Time sent, int zone,
+                      const std::string& zone_name = {});
+  void record_not_started(const std::string& id, int number);
   // False: not written yet; settle() does it. Until then the next process knows nothing of the end.
-  bool owed(const Notice& notice);
-  void done(const std::string& id);
+  bool record_final_answer(const FinalAnswer& notice);
+  void record_acknowledged(const std::string& id);
   // Writes what a full disk held back; false where there is still no room.
   bool settle() { return !behind_ || compact(); }
   // A fact beside the messages; the last value of a name counts, an empty one forgets it.
--- a/relay/message.h
+++ b/relay/message.h
@@ -12,21 +12,21 @@
 using policy::Endpoint;
 using policy::Time;
 
-struct Handed {
+struct SubmittedMessage {
   std::string id;
   std::string message_class;
   std::string key;  // idempotency key; empty if none
   int destination = 0;
-  Time life = 0;  // how long it may still be delivered, when its last byte came
+  Time time_to_live = 0;  // how long it may still be delivered, when its last byte came
   std::string body;
-  std::string tenant;  // whose share of the traffic it counts against; empty if none
-  uint64_t about = 0;  // for classes in order: messages of one number go in turn; 0: about nothing
+  std::string tenant;         // whose share of the traffic it counts against; empty if none
+  uint64_t ordering_key = 0;  // for classes in order: messages of one number go in turn; 0: about nothing
 };
 
-struct Notice {
+struct FinalAnswer {
   std::string id;
   bool returned = false;  // else failed
-  Time after = 0;         // with returned: when to come again; 0: not told
+  Time retry_after = 0;   // with returned: when to come again; 0: not told
 };
 
 using net::at_time;
--- a/relay/metrics.cpp
+++ b/relay/metrics.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-std::string Figures::text() const {
+std::string Metrics::text() const {
   std::string out;
-  const auto by_class = [&](const std::string& name, uint64_t ClassFigures::*figure) {
+  const auto by_class = [&](const std::string& name, uint64_t ClassMetrics::*figure) {
     type(out, name, "counter");
     for (const auto& [message_class, figures] : classes) {
       out += "proxy_" + name + "{type=\"" + label(message_class) + "\"} " + std::to_string(figures.*figure) +
@@ -33,9 +33,9 @@
     type(out, name, kind);
     out += "proxy_" + name + " " + std::to_string(value) + "\n";
   };
-  by_class("success_total", &ClassFigures::success);
-  by_class("overload_total", &ClassFigures::overload);
-  by_class("error_total", &ClassFigures::error);
+  by_class("success_total", &ClassMetrics::success);
+  by_class("overload_total", &ClassMetrics::overload);
+  by_class("error_total", &ClassMetrics::error);
   one("dispatches_total", "counter", dispatches);
   one("concurrent", "gauge", concurrent);
   one("targets", "gauge", targets);
--- a/relay/metrics.h
+++ b/relay/metrics.h
@@ -9,29 +9,29 @@
 
 namespace turntally::relay {
 
-struct ClassFigures {
+struct ClassMetrics {
   uint64_t success = 0;   // delivered
   uint64_t overload = 0;  // refused or handed back
   uint64_t error = 0;     // failed
 };
 
 // Only where a registry is followed.
-struct RegistryFigures {
+struct RegistryMetrics {
   double age_s = 0;    // since a member last said that the list is its newest; under 0: not yet
   bool held = false;   // a list waits to be confirmed
   uint64_t holds = 0;  // how often one did
   uint64_t moves = 0;  // to another member
 };
 
-struct Figures {
-  std::map<std::string, ClassFigures> classes;
+struct Metrics {
+  std::map<std::string, ClassMetrics> classes;
   uint64_t dispatches = 0;  // messages written whole to endpoints
   uint64_t reload_success = 0;
   uint64_t reload_failure = 0;
   size_t concurrent = 0;        // messages taken but not ended
   size_t targets = 0;           // endpoints listed
   size_t targets_disabled = 0;  // and of these avoided now
-  std::optional<RegistryFigures> registry;
+  std::optional<RegistryMetrics> registry;
 
   std::string text() const;
 };
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -60,7 +60,7 @@
 
 size_t most_calls(const Config& config) {
   const size_t half = (config.sockets - own_descriptors(config)) / 2;
-  return std::min(half, static_cast<size_t>(config.settings.slots) + kProbes);
+  return std::min(half, static_cast<size_t>(config.settings.max_concurrent_calls) + kProbes);
 }
 
 size_t most_clients(const Config& config) {
@@ -72,14 +72,15 @@
 policy::Settings within_descriptors(const Config& config) {
   policy::Settings out = config.settings;
   const size_t most = most_calls(config);
-  out.slots = std::min(out.slots, most > kProbes ? static_cast<int>(most - kProbes) : 1);
+  out.max_concurrent_calls =
+      std::min(out.max_concurrent_calls, most > kProbes ? static_cast<int>(most - kProbes) : 1);
   return out;
 }
 
 Upstream::Limits upstream_limits(const Config& config) {
   Upstream::Limits out;
   out.connect_timeout = config.settings.connect_timeout;
-  out.idle = config.settings.conn_idle;
+  out.idle = config.settings.connection_idle_timeout;
   out.most_open = config.sockets - own_descriptors(config) - most_clients(config);
   return out;
 }
@@ -97,8 +98,8 @@
 }
 
 bool never_ran(policy::Outcome outcome) {
-  return outcome == policy::Outcome::kFull || outcome == policy::Outcome::kConnectFailed ||
-         outcome == policy::Outcome::kMoot;
+  return outcome == policy::Outcome::kRejected || outcome == policy::Outcome::kConnectFailed ||
+         outcome == policy::Outcome::kNotStarted;
 }
 
 DurableClock clock_of(const Journal& journal) {
@@ -132,16 +133,16 @@
       record_timer_(io),
       notices_(io, config.discovery,
                [this](const std::string& id) {
-                 journal_.done(id);
+                 journal_.record_acknowledged(id);
                  untold_.erase(id);
                }),
       upstream_(
           io, upstream_limits(config), config.report_fields,
           [this](const Call& call) { return may_start(call); },
           [this](const policy::AttemptEnded& end, bool began) { ended(end, began); },
-          [this](const policy::ProbeEnded& end) {
-            happened(end);
-            back(end.endpoint);
+          [this](const policy::HealthCheckEnded& end) {
+            queue_event(end);
+            on_endpoint_idle(end.endpoint);
           }),
       listening_(std::move(listening)),
       open_timer_(io) {
@@ -149,13 +150,13 @@
     watch_.emplace(
         io, config.discovery, config.names,
         [this] { return directory_.hosts().empty() ? -1 : directory_.revision(); },
-        [this](const HostList& list) { told(list); }, [this] { open(); },
-        Watch::Pace{config.settings.relays, !config.settings.ask_for_list, config.seed});
+        [this](const HostList& list) { on_endpoint_list(list); }, [this] { open(); },
+        Watch::Pace{config.settings.relay_count, !config.settings.list_needs_watch, config.seed});
   }
   config_.settings = within_descriptors(config_);
   journal_.remember(kClock, clock_.text());
   recall();
-  told(config_.known);
+  on_endpoint_list(config_.known);
   if (config.fleet) follow();
   if (handover_.taken_over()) take_over();
   handover_.offer([this] { hand_over(); });
@@ -172,7 +173,7 @@
   const auto& facts = journal_.remembered();
   HostList list;
   list.complete = true;
-  std::vector<policy::DestinationMemory> memories;
+  std::vector<policy::DestinationState> memories;
   const auto steady = [this](Time t) { return t == 0 ? 0 : clock_.to_steady(t); };
   nlohmann::json members = nlohmann::json::array();
   for (const auto& [name, value] : facts) {
@@ -203,8 +204,8 @@
   list.hosts =
       parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.names)
           .hosts;
-  if (!list.hosts.empty()) told(list);
-  for (const policy::DestinationMemory& memory : memories) happened(memory);
+  if (!list.hosts.empty()) on_endpoint_list(list);
+  for (const policy::DestinationState& memory : memories) queue_event(memory);
 }
 
 // What is known so far is what the guard begins from.
@@ -213,7 +214,7 @@
   for (const auto& [handle, host] : directory_.hosts()) {
     if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
   }
-  registry::Follower::Listener listener;
+  registry::ListFollower::Listener listener;
   listener.told = [this](const nlohmann::json& line) { told_by_registry(line); };
   listener.current = [this] { open(); };
   fleet_.emplace(io_, *config_.fleet,
@@ -233,13 +234,13 @@
     journal_.remember(kIdentity, nlohmann::json(identity).dump());
     directory_.renamed();
   }
-  told(list);
+  on_endpoint_list(list);
 }
 
 // What a message's class allows is remembered before the message: a restart may bring settings in which that
 // class allows more, or is not named at all.
 int64_t Relay::rules_now(const std::string& message_class) {
-  int64_t& number = rules_[message_class];
+  int64_t& number = delivery_terms_[message_class];
   if (number != 0) return number;
   const std::string text = rules_text(config_.settings.classes[class_of(message_class)]);
   int64_t last = 0;
@@ -255,43 +256,43 @@
 }
 
 std::string Relay::rules_text(const policy::ClassSettings& c) const {
-  return nlohmann::json{{"effect", static_cast<int>(c.effect)},
-                        {"scope", static_cast<int>(c.key_scope)},
-                        {"window", c.key_window},
+  return nlohmann::json{{"effect", static_cast<int>(c.idempotency)},
+                        {"scope", static_cast<int>(c.deduplication_scope)},
+                        {"window", c.deduplication_window},
                         {"in_order", c.in_order},
-                        {"target", c.target},
-                        {"give_up", c.give_up},
-                        {"worth", c.worth},
-                        {"late_worth", c.late_worth},
+                        {"target", c.latency_objective},
+                        {"give_up", c.max_lifetime},
+                        {"worth", c.priority_weight},
+                        {"late_worth", c.late_weight_share},
                         {"attempts", config_.settings.max_attempts}}
       .dump();
 }
 
-Relay::MessageRules Relay::read_rules(const std::string& message_class, const std::string& text) {
+Relay::DeliveryTerms Relay::read_rules(const std::string& message_class, const std::string& text) {
   const nlohmann::json json = nlohmann::json::parse(text);
-  MessageRules out;
+  DeliveryTerms out;
   out.name = message_class;
-  out.effect = static_cast<policy::Effect>(json.at("effect").get<int>());
-  out.key_scope = static_cast<policy::KeyScope>(json.at("scope").get<int>());
-  out.key_window = json.at("window").get<Time>();
+  out.idempotency = static_cast<policy::Idempotency>(json.at("effect").get<int>());
+  out.deduplication_scope = static_cast<policy::DeduplicationScope>(json.at("scope").get<int>());
+  out.deduplication_window = json.at("window").get<Time>();
   out.in_order = json.at("in_order").get<bool>();
-  out.target = json.at("target").get<Time>();
-  out.give_up = json.at("give_up").get<Time>();
-  out.worth = json.at("worth").get<double>();
-  out.late_worth = json.at("late_worth").get<double>();
+  out.latency_objective = json.at("target").get<Time>();
+  out.max_lifetime = json.at("give_up").get<Time>();
+  out.priority_weight = json.at("worth").get<double>();
+  out.late_weight_share = json.at("late_worth").get<double>();
   out.most_attempts = json.value("attempts", 0);  // not in older records
   return out;
 }
 
 // Where nothing at all is known it may run once.
-Relay::MessageRules Relay::rules_of(const std::string& name, int64_t number) const {
+Relay::DeliveryTerms Relay::rules_of(const std::string& name, int64_t number) const {
   const auto& facts = journal_.remembered();
   const auto known = facts.find(kRules + std::to_string(number));
   if (known != facts.end()) return read_rules(name, known->second);
   if (const int now = class_of(name); now >= 0) return {config_.settings.classes[now], 0};
   const auto before = facts.find(kClass + name);
   if (before != facts.end()) return read_rules(name, before->second);
-  MessageRules out;
+  DeliveryTerms out;
   out.name = name;
   return out;
 }
@@ -300,7 +301,7 @@
 void Relay::forget_rules() {
   if (!clients_) return;
   std::set<std::string> used;
-  for (const auto& [number, held] : held_) {
+  for (const auto& [number, held] : pending_messages_) {
     used.insert(held.rules == 0 ? kClass + held.handed.message_class : kRules + std::to_string(held.rules));
   }
   std::set<std::string> texts;
@@ -317,9 +318,9 @@
 }
 
 // The module takes messages under rules that the settings have no more.
-void Relay::arrive(const std::vector<Kept>& messages) {
+void Relay::arrive(const std::vector<RecoveredMessage>& messages) {
   auto all = settings_told();
-  std::vector<policy::Arrival> arrivals;
+  std::vector<policy::MessageArrived> arrivals;
   for (const auto& [in, rules] : messages) {
     const policy::ClassSettings& message_class = rules;
     const auto place = std::find(all->classes.begin(), all->classes.end(), message_class);
@@ -328,25 +329,27 @@
     if (place == all->classes.end()) all->classes.push_back(message_class);
   }
   const bool more = all->classes.size() > config_.settings.classes.size() || last_over_ != 0;
-  if (more) happened(policy::SettingsChanged{all, {}});
-  for (const policy::Arrival& in : arrivals) happened(in);
-  if (more) happened(policy::SettingsChanged{settings_told(), {}});
+  if (more) queue_event(policy::SettingsChanged{all, {}});
+  for (const policy::MessageArrived& in : arrivals) queue_event(in);
+  if (more) queue_event(policy::SettingsChanged{settings_told(), {}});
 }
 
 // A lower cap is for what comes: what was taken on under a greater one is still tried, and the module gives
 // nothing back for want of room until it fits well.
 std::shared_ptr<policy::Settings> Relay::settings_told() const {
   auto out = std::make_shared<policy::Settings>(config_.settings);
-  if (last_over_ != 0) out->max_open = std::max(out->max_open, 2 * static_cast<int>(held_.size()));
+  if (last_over_ != 0)
+    out->max_pending_messages =
+        std::max(out->max_pending_messages, 2 * static_cast<int>(pending_messages_.size()));
   return out;
 }
 
-void Relay::remember(const policy::DestinationMemory& memory) {
+void Relay::remember(const policy::DestinationState& memory) {
   const auto durable = [this](Time t) { return t == 0 ? 0 : clock_.from_steady(t); };
-  const nlohmann::json fact = {{"tokens", memory.tokens},
-                               {"out_since", durable(memory.out_since)},
-                               {"back_since", durable(memory.back_since)},
-                               {"base", memory.base},
+  const nlohmann::json fact = {{"tokens", memory.retry_tokens},
+                               {"out_since", durable(memory.outage_since)},
+                               {"back_since", durable(memory.recovering_since)},
+                               {"base", memory.rate_before_outage},
                                {"wait_until", durable(memory.wait_until)}};
   journal_.remember(kDestination + std::to_string(memory.destination), fact.dump());
 }
@@ -370,10 +373,12 @@
   resume();
   clients_.emplace(
       io_, config_.listen, most_clients(config_),
-      [this](Handed handed, Clients::Answer answer) { put(std::move(handed), std::move(answer)); },
+      [this](SubmittedMessage handed, Clients::Answer answer) {
+        accept_message(std::move(handed), std::move(answer));
+      },
       listener_.release());
   forget_rules();
-  handover_.hear([this](std::optional<Parcel> parcel) { heard_before(std::move(parcel)); });
+  handover_.hear([this](std::optional<HandoverFrame> parcel) { on_predecessor_frame(std::move(parcel)); });
   if (draining_) clients_->drain();
   listening_(clients_->address());
 }
@@ -383,21 +388,22 @@
   return control_->address();
 }
 
-Figures Relay::figures() const {
-  Figures out = counted_;
+Metrics Relay::metrics() const {
+  Metrics out = metrics_;
   for (const policy::ClassSettings& c : config_.settings.classes) out.classes.try_emplace(c.name);
   out.dispatches = upstream_.written();
   out.concurrent =
-      handed_over_ ? 0 : static_cast<size_t>(std::count_if(held_.begin(), held_.end(), [](const auto& held) {
-        return held.second.accepted;
-      }));
+      handed_over_
+          ? 0
+          : static_cast<size_t>(std::count_if(pending_messages_.begin(), pending_messages_.end(),
+                                              [](const auto& held) { return held.second.accepted; }));
   const auto& hosts = directory_.hosts();
   out.targets = static_cast<size_t>(std::count_if(hosts.begin(), hosts.end(), [](const auto& host) {
     return host.second.member.listing != policy::Listing::kGone;
   }));
-  out.targets_disabled = policy_.avoided(steady_now());
+  out.targets_disabled = policy_.ejected_endpoints(steady_now());
   if (fleet_) {
-    out.registry = RegistryFigures{static_cast<double>(fleet_->heard_ms()) / 1000, fleet_->guard().holds(),
+    out.registry = RegistryMetrics{static_cast<double>(fleet_->heard_ms()) / 1000, fleet_->guard().holds(),
                                    fleet_->guard().held_total(), fleet_->moves()};
   }
   return out;
@@ -406,7 +412,7 @@
 OperatorReply Relay::operate(const OperatorCall& call) {
   if (handed_over_ && call.what != OperatorCall::What::kMetrics) return {503, "handed over\n"};
   if (call.claim) fence(*call.claim);
-  if (call.claim && call.claim->only) {
+  if (call.claim && call.claim->raise_only) {
     const nlohmann::ordered_json raised = {{"lease", call.claim->lease}, {"token", call.claim->token}};
     return {200, raised.dump() + "\n", true};
   }
@@ -424,7 +430,7 @@
       if (clients_) clients_->activate();
       return {200, "active\n"};
     case OperatorCall::What::kMetrics:
-      return {200, figures().text()};
+      return {200, metrics().text()};
     case OperatorCall::What::kSuspend:
     case OperatorCall::What::kResume:
     case OperatorCall::What::kFence:  // always with a claim, and answered above
@@ -435,7 +441,7 @@
 
 // What is carried out under a token is preceded on the disk by that token: else a holder of before could act
 // after its successor, with a restart between the two.
-void Relay::fence(const Claim& claim) {
+void Relay::fence(const LeaseClaim& claim) {
   try {
     fences_.raise(claim);
     if (!journal_.remember_synced(claim.lease, std::to_string(claim.token))) throw FenceNotKept(claim.lease);
@@ -454,7 +460,7 @@
   journal_.remember(kSuspended + id, out ? "1" : "");
   if (host != nullptr) {
     if (out) upstream_.close_idle(host->member.endpoint);
-    happened(policy::Suspended{host->member.endpoint, out});
+    queue_event(policy::EndpointSuspended{host->member.endpoint, out});
   }
   return {200, out ? "suspended\n" : "resumed\n"};
 }
@@ -462,16 +468,16 @@
 // Messages from before a restart are the module's to decide on, like any other.
 void Relay::resume() {
   const Time now = clock_.now();
-  std::vector<Kept> arrivals;
+  std::vector<RecoveredMessage> arrivals;
   std::vector<policy::AttemptEnded> ends;
   const auto& facts = journal_.remembered();
   for (auto it = facts.lower_bound(kRest); it != facts.end() && it->first.starts_with(kRest); ++it) {
     if (std::stoll(it->second) <= now) continue;
-    Kept over;  // its message may be over, and is here for its call alone
+    RecoveredMessage over;  // its message may be over, and is here for its call alone
     over.rules.in_order = true;
     over.in.id = ++last_number_;
     over.in.tenant = -1;
-    over.in.key = std::stoull(it->first.substr(kRest.size()));
+    over.in.ordering_key = std::stoull(it->first.substr(kRest.size()));
     over.in.attempts = 1;
     auto end = cut_off(over.in);
     if (!end) continue;
@@ -480,72 +486,74 @@
     arrivals.push_back(std::move(over));
   }
   for (const Recovered& entry : journal_.recovered()) {
-    if (entry.owed) {
-      const Handed& over = entry.message;
-      if (in_turn(rules_of(over.message_class, entry.rules), over.about)) untold_[over.id] = over.about;
-      notices_.add(*entry.owed);
+    if (entry.unacknowledged_answer) {
+      const SubmittedMessage& over = entry.message;
+      if (in_turn(rules_of(over.message_class, entry.rules), over.ordering_key))
+        untold_[over.id] = over.ordering_key;
+      notices_.add(*entry.unacknowledged_answer);
       continue;
     }
     const uint64_t number = ++last_number_;
-    Held& held = held_[number];
+    PendingMessage& held = pending_messages_[number];
     held.handed = entry.message;
     held.due = clock_.to_steady(entry.due);
     held.attempts = entry.attempts;
     held.accepted = true;
     held.rules = entry.rules;
     numbers_[entry.message.id] = number;
-    policy::Arrival in;
+    policy::MessageArrived in;
     in.id = number;
     in.tenant = tenant_of(entry.message.tenant);
-    in.due = held.due;
+    in.deadline = held.due;
     in.destination = entry.message.destination;
-    in.key = entry.message.about;
+    in.ordering_key = entry.message.ordering_key;
     in.attempts = entry.attempts;
     auto unsettled = entry.unsettled;
-    auto away = away_.find(entry.message.id);
+    auto away = inherited_attempts_.find(entry.message.id);
     // What had no record yet never began, and the process before begins nothing any more.
-    if (away != away_.end() && !unsettled.contains(away->second.attempt)) {
-      away_.erase(std::exchange(away, away_.end()));
+    if (away != inherited_attempts_.end() && !unsettled.contains(away->second.attempt)) {
+      inherited_attempts_.erase(std::exchange(away, inherited_attempts_.end()));
     }
-    if (away != away_.end()) {
+    if (away != inherited_attempts_.end()) {
       held.attempts = in.attempts = std::max(in.attempts, away->second.attempt + 1);
       const auto out = unsettled.find(away->second.attempt);
-      in.ran_zone = zone_of(out->second);  // where its host is listed no more
-      unsettled.erase(out);                // its end is still to come
+      in.possibly_run_zone = zone_of(out->second);  // where its host is listed no more
+      unsettled.erase(out);                         // its end is still to come
     }
     if (!unsettled.empty()) {
-      const Sent& sent = unsettled.begin()->second;
-      in.ran = true;
-      in.ran_sent = clock_.to_steady(sent.at);
-      in.ran_zone = zone_of(sent);
+      const RecordedAttempt& sent = unsettled.begin()->second;
+      in.may_have_run = true;
+      in.possibly_run_since = clock_.to_steady(sent.sent_at);
+      in.possibly_run_zone = zone_of(sent);
     }
-    Kept kept{in, rules_of(entry.message.message_class, entry.rules)};
+    RecoveredMessage kept{in, rules_of(entry.message.message_class, entry.rules)};
     const int allowed =
         kept.rules.most_attempts > 0 ? kept.rules.most_attempts : config_.settings.max_attempts;
-    kept.in.most_attempts = allowed + entry.attempts - entry.begun;
-    if (in.ran && away == away_.end() && rests(kept.rules, in.key)) {
+    kept.in.max_attempts = allowed + entry.attempts - entry.begun;
+    if (in.may_have_run && away == inherited_attempts_.end() && rests(kept.rules, in.ordering_key)) {
       if (auto end = cut_off(kept.in)) ends.push_back(std::move(*end));
-      rest(in.key);
+      rest(in.ordering_key);
     }
-    if (away != away_.end() && !resume_away(kept, away->second)) continue;
+    if (away != inherited_attempts_.end() && !resume_away(kept, away->second)) continue;
     arrivals.push_back(std::move(kept));
   }
-  if (held_.size() > static_cast<size_t>(config_.settings.max_open)) last_over_ = last_number_;
+  if (pending_messages_.size() > static_cast<size_t>(config_.settings.max_pending_messages))
+    last_over_ = last_number_;
   arrive(arrivals);
-  for (policy::AttemptEnded& end : ends) happened(std::move(end));
-  std::erase_if(away_, [](const auto& away) { return away.second.number == 0; });
+  for (policy::AttemptEnded& end : ends) queue_event(std::move(end));
+  std::erase_if(inherited_attempts_, [](const auto& away) { return away.second.number == 0; });
 }
 
 // For the module a call that ended with the process, or in it, ends now: what comes later under its key
 // waits. The host that it went to is not known, and nothing is learnt of the one that stands for it.
-std::optional<policy::AttemptEnded> Relay::cut_off(policy::Arrival& in) const {
+std::optional<policy::AttemptEnded> Relay::cut_off(policy::MessageArrived& in) const {
   const auto& hosts = directory_.hosts();
   const auto host = std::find_if(hosts.begin(), hosts.end(), [](const auto& entry) {
     return entry.second.member.listing != policy::Listing::kGone;
   });
   if (host == hosts.end()) return {};
   constexpr uint64_t kCutOff = uint64_t{1} << 62;  // apart from the calls that are out
-  in.out = policy::Arrival::Out{host->first, in.ran_sent, kCutOff | in.id};
+  in.in_flight = policy::MessageArrived::InFlightCall{host->first, in.possibly_run_since, kCutOff | in.id};
   policy::AttemptEnded end;
   end.id = in.id;
   end.attempt = in.attempts - 1;
@@ -555,7 +563,7 @@
 }
 
 bool Relay::rests(const policy::ClassSettings& rules, uint64_t about) const {
-  return in_turn(rules, about) && config_.settings.order_pause > 0;
+  return in_turn(rules, about) && config_.settings.ordering_pause > 0;
 }
 
 // The module holds what comes later under the key; the next process has to.
@@ -567,11 +575,11 @@
     if (std::stoll(it->second) <= now) over.push_back(it->first);
   }
   for (const std::string& name : over) journal_.remember(name, "");
-  journal_.remember(kRest + std::to_string(about), std::to_string(now + config_.settings.order_pause));
+  journal_.remember(kRest + std::to_string(about), std::to_string(now + config_.settings.ordering_pause));
 }
 
 // Settings may list zones in another order than before. One that they do not name takes no repeat.
-int Relay::zone_of(const Sent& sent) const {
+int Relay::zone_of(const RecordedAttempt& sent) const {
   if (sent.zone_name.empty()) return sent.zone;  // of a version before
   return place_of(sent.zone_name, config_.names.zones);
 }
@@ -579,89 +587,90 @@
 // What the process before has out. The rest of what it gives is heard while clients are served.
 void Relay::take_over() {
   uint64_t number = 0;
-  while (auto parcel = handover_.next()) {
-    if (parcel->kind == Parcel::kListener) {
+  while (auto parcel = handover_.next_frame()) {
+    if (parcel->kind == HandoverFrame::kListener) {
       const bool same = config_.listen.port() == 0 || parcel->text == net::text_of(config_.listen);
       if (same) listener_ = std::move(parcel->descriptor);
       return;
     }
-    if (parcel->kind != Parcel::kCall) continue;
+    if (parcel->kind != HandoverFrame::kCall) continue;
     const auto call = nlohmann::json::parse(parcel->text);
     const Endpoint endpoint = directory_.handle(call.at("host").get<std::string>());
     ++number;
     for (const auto& [id, attempt] : call.at("messages").items()) {
-      away_[id] = {0, attempt.get<int>(), {endpoint, call.at("since").get<Time>(), number}, {}};
+      inherited_attempts_[id] = {0, attempt.get<int>(), {endpoint, call.at("since").get<Time>(), number}, {}};
     }
   }
 }
 
 // Whether the module is to be told now.
-bool Relay::resume_away(Kept& kept, Away& away) {
+bool Relay::resume_away(RecoveredMessage& kept, InheritedAttempt& away) {
   away.number = kept.in.id;
   if (directory_.find(away.call.endpoint) == nullptr) {
     away.untold = kept;
     return false;
   }
-  kept.in.out = away.call;
+  kept.in.in_flight = away.call;
   ++out_[away.call.endpoint];
   return true;
 }
 
-void Relay::heard_before(std::optional<Parcel> parcel) {
+void Relay::on_predecessor_frame(std::optional<HandoverFrame> parcel) {
   if (!parcel) {  // it is gone: what it had out may have run
-    while (!away_.empty()) {
+    while (!inherited_attempts_.empty()) {
       policy::AttemptEnded lost;
       lost.outcome = policy::Outcome::kReset;
-      const std::string id = away_.begin()->first;
+      const std::string id = inherited_attempts_.begin()->first;
       away_ended(id, lost, true);
     }
-  } else if (parcel->kind == Parcel::kClient && handed_over_) {
-    handover_.give(Parcel::kClient, parcel->text, parcel->descriptor.get());
-  } else if (parcel->kind == Parcel::kClient) {
+  } else if (parcel->kind == HandoverFrame::kClient && handed_over_) {
+    handover_.send_frame(HandoverFrame::kClient, parcel->text, parcel->descriptor.get());
+  } else if (parcel->kind == HandoverFrame::kClient) {
     clients_->adopt(parcel->text, parcel->descriptor.release());
-  } else if (parcel->kind == Parcel::kEnded) {
+  } else if (parcel->kind == HandoverFrame::kEnded) {
     const auto told = nlohmann::json::parse(parcel->text);
     policy::AttemptEnded end;
     end.outcome = static_cast<policy::Outcome>(told.at("outcome").get<int>());
     end.final = told.at("final").get<bool>();
-    end.took = told.at("took").get<Time>();
-    end.wait = told.at("wait").get<Time>();
+    end.latency = told.at("took").get<Time>();
+    end.retry_after = told.at("wait").get<Time>();
     for (const auto& value : told.at("report")) {
-      end.report.push_back(value.is_null() ? std::numeric_limits<float>::quiet_NaN() : value.get<float>());
+      end.load_report.push_back(value.is_null() ? std::numeric_limits<float>::quiet_NaN()
+                                                : value.get<float>());
     }
     away_ended(told.at("id").get<std::string>(), std::move(end), told.at("began").get<bool>());
   }
 }
 
 void Relay::away_ended(const std::string& id, policy::AttemptEnded end, bool began) {
-  const auto found = away_.find(id);
-  if (found == away_.end()) return;
-  const Away away = std::move(found->second);
-  away_.erase(found);
+  const auto found = inherited_attempts_.find(id);
+  if (found == inherited_attempts_.end()) return;
+  const InheritedAttempt away = std::move(found->second);
+  inherited_attempts_.erase(found);
   end.id = away.number;
   end.attempt = away.attempt;
   end.endpoint = away.call.endpoint;
   if (handed_over_) return pass_on(id, end, began);
   ended(end, began);
   if (!away.untold || end.final) return;
-  Kept kept = *away.untold;
-  policy::Arrival& in = kept.in;
-  in.ahead_of_key = true;
-  if (began && !never_ran(end.outcome) && !in.ran) {
-    in.ran = true;
-    in.ran_sent = away.call.sent;
+  RecoveredMessage kept = *away.untold;
+  policy::MessageArrived& in = kept.in;
+  in.ahead_in_order = true;
+  if (began && !never_ran(end.outcome) && !in.may_have_run) {
+    in.may_have_run = true;
+    in.possibly_run_since = away.call.sent;
   }
   arrive({std::move(kept)});
 }
 
 // In one turn all goes to the process that asked, but the calls that are out: their ends follow.
 void Relay::hand_over() {
-  happened(policy::Closing{steady_now()});
+  queue_event(policy::ShutdownScheduled{steady_now()});
   step();
   // Without what the disk had no room for the next process would take messages up that have ended.
   if (!journal_.settle() || !handover_.give_folder()) {
     handover_.withdraw();
-    return happened(policy::Closing{closing_at()});
+    return queue_event(policy::ShutdownScheduled{closing_at()});
   }
   handed_over_ = true;
   events_.clear();
@@ -670,33 +679,37 @@
     const ListedHost* host = directory_.find(endpoint);
     const nlohmann::json call = {
         {"host", host == nullptr ? "" : host->id}, {"since", since}, {"messages", messages}};
-    handover_.give(Parcel::kCall, call.dump());
+    handover_.send_frame(HandoverFrame::kCall, call.dump());
   };
   for (const Upstream::Out& call : upstream_.calls_out()) {
     nlohmann::json messages = nlohmann::json::object();
     for (const auto& [number, attempt] : call.messages) {
-      if (const auto held = held_.find(number); held != held_.end())
+      if (const auto held = pending_messages_.find(number); held != pending_messages_.end())
         messages[held->second.handed.id] = attempt;
     }
     tell(call.endpoint, call.since, messages);
   }
-  for (const auto& [id, away] : away_) tell(away.call.endpoint, away.call.sent, {{id, away.attempt}});
+  for (const auto& [id, away] : inherited_attempts_)
+    tell(away.call.endpoint, away.call.sent, {{id, away.attempt}});
   const int listener = clients_ ? clients_->listener() : listener_.get();
-  handover_.give(Parcel::kListener,
-                 listener < 0 ? "" : net::text_of(clients_ ? clients_->address() : config_.listen), listener);
+  handover_.send_frame(HandoverFrame::kListener,
+                       listener < 0 ? "" : net::text_of(clients_ ? clients_->address() : config_.listen),
+                       listener);
   if (clients_) {
     clients_->hand_over([this](const std::string& state, int descriptor) {
-      handover_.give(Parcel::kClient, state, descriptor);
+      handover_.send_frame(HandoverFrame::kClient, state, descriptor);
     });
   } else {  // asked before it has opened: what the process before has to tell still passes through
-    handover_.hear([this](std::optional<Parcel> parcel) { heard_before(std::move(parcel)); });
+    handover_.hear([this](std::optional<HandoverFrame> parcel) { on_predecessor_frame(std::move(parcel)); });
     listener_ = Descriptor();
   }
-  handover_.hear_successor([this](std::optional<Parcel> parcel) {
-    if (!parcel || parcel->kind != Parcel::kCancel) return;
-    if (away_.contains(parcel->text)) handover_.tell_before(Parcel::kCancel, parcel->text);
+  handover_.hear_successor([this](std::optional<HandoverFrame> parcel) {
+    if (!parcel || parcel->kind != HandoverFrame::kCancel) return;
+    if (inherited_attempts_.contains(parcel->text))
+      handover_.tell_before(HandoverFrame::kCancel, parcel->text);
     const auto number = numbers_.find(parcel->text);
-    if (number != numbers_.end()) upstream_.cancel(number->second, held_.at(number->second).attempts - 1);
+    if (number != numbers_.end())
+      upstream_.cancel(number->second, pending_messages_.at(number->second).attempts - 1);
   });
   if (watch_) watch_->close();
   if (fleet_) fleet_->close();
@@ -707,17 +720,20 @@
 
 void Relay::pass_on(const std::string& id, const policy::AttemptEnded& end, bool began) {
   nlohmann::json report = nlohmann::json::array();  // what is no number becomes null
-  for (const float value : end.report) report.push_back(value);
-  const nlohmann::json told = {{"id", id},           {"outcome", static_cast<int>(end.outcome)},
-                               {"final", end.final}, {"took", end.took},
-                               {"wait", end.wait},   {"report", report},
+  for (const float value : end.load_report) report.push_back(value);
+  const nlohmann::json told = {{"id", id},
+                               {"outcome", static_cast<int>(end.outcome)},
+                               {"final", end.final},
+                               {"took", end.latency},
+                               {"wait", end.retry_after},
+                               {"report", report},
                                {"began", began}};
-  handover_.give(Parcel::kEnded, told.dump());
+  handover_.send_frame(HandoverFrame::kEnded, told.dump());
 }
 
-void Relay::put(Handed handed, Clients::Answer answer) {
+void Relay::accept_message(SubmittedMessage handed, Clients::Answer answer) {
   if (const auto number = numbers_.find(handed.id); number != numbers_.end()) {  // sent once more
-    if (held_.at(number->second).accepted) return answer("+OK");
+    if (pending_messages_.at(number->second).accepted) return answer("+OK");
     pending_.push_back({number->second, std::move(answer)});
     return;
   }
@@ -727,56 +743,58 @@
   const bool over = retired != retired_.end() && retired->second.gone && !recent;
   if (message_class < 0 || over) return answer("-ERR unknown class");
   const policy::ClassSettings& settings = config_.settings.classes[message_class];
-  const Time most_life = recent ? std::max(settings.give_up, retired->second.give_up) : settings.give_up;
-  if (settings.effect == policy::Effect::kKeyed && handed.key.empty())
+  const Time most_life =
+      recent ? std::max(settings.max_lifetime, retired->second.give_up) : settings.max_lifetime;
+  if (settings.idempotency == policy::Idempotency::kIdempotentWithKey && handed.key.empty())
     return answer("-ERR no idempotency key");
-  if (handed.life > most_life + kClockSlack) return answer("-ERR d is too long");
-  ClassFigures& figures = counted_.classes[handed.message_class];
+  if (handed.time_to_live > most_life + kClockSlack) return answer("-ERR d is too long");
+  ClassMetrics& figures = metrics_.classes[handed.message_class];
   if (!directory_.known(handed.destination)) {
     ++figures.error;
     return answer("-ERR unknown destination");
   }
-  if (held_.size() >= static_cast<size_t>(config_.settings.max_open)) {
+  if (pending_messages_.size() >= static_cast<size_t>(config_.settings.max_pending_messages)) {
     ++figures.overload;
     net::log::debug("put", "id", handed.id, "class", handed.message_class, "destination", handed.destination,
-                    "life_ms", handed.life / kMs, "answer", kBusy);
+                    "life_ms", handed.time_to_live / kMs, "answer", kBusy);
     return answer(kBusy);
   }
   const uint64_t number = ++last_number_;
-  policy::Arrival in;
+  policy::MessageArrived in;
   in.id = number;
   in.message_class = message_class;
   in.tenant = tenant_of(handed.tenant);
-  in.due = steady_now() + handed.life - std::min(kTransit, handed.life);
+  in.deadline = steady_now() + handed.time_to_live - std::min(kTransit, handed.time_to_live);
   in.destination = handed.destination;
-  in.key = handed.about;
+  in.ordering_key = handed.ordering_key;
   numbers_[handed.id] = number;
   const int64_t rules = rules_now(handed.message_class);
-  held_[number] = {std::move(handed), in.due, 0, false, rules};
+  pending_messages_[number] = {std::move(handed), in.deadline, 0, false, rules};
   pending_.push_back({number, std::move(answer)});
-  happened(in);
+  queue_event(in);
 }
 
-void Relay::told(const HostList& list) {
+void Relay::on_endpoint_list(const HostList& list) {
   const Time now = clock_.now();
   const auto destinations = directory_.destinations().size();
   auto change = directory_.apply(list, now);
   journal_.remember(kRevision, std::to_string(directory_.revision()));
   for (const std::string& id : directory_.prune(now)) journal_.remember(kGone + id, "");
   if (!change) return;
-  const auto members = change->members;
+  const auto members = change->endpoints;
   net::log::debug("list", "revision", directory_.revision(), "changed", members->size());
-  happened(std::move(*change));
-  for (const policy::Member& member : *members) {
+  queue_event(std::move(*change));
+  for (const policy::EndpointInfo& member : *members) {
     const ListedHost* host = directory_.find(member.endpoint);
     if (host != nullptr) remember_host(*host);
-    if (host != nullptr && directory_.suspended(host->id)) happened(policy::Suspended{member.endpoint, true});
+    if (host != nullptr && directory_.suspended(host->id))
+      queue_event(policy::EndpointSuspended{member.endpoint, true});
     forget_gone(member.endpoint);
   }
   if (directory_.destinations().size() != destinations) {
     journal_.remember(kDestinations, nlohmann::json(directory_.destinations()).dump());
   }
-  std::erase_if(waits_, [now = steady_now()](const auto& wait) { return wait.second <= now; });
+  std::erase_if(retry_after_until_, [now = steady_now()](const auto& wait) { return wait.second <= now; });
 }
 
 void Relay::remember_host(const ListedHost& host) {
@@ -794,7 +812,7 @@
   if (!out_.contains(endpoint)) directory_.forget(endpoint);
 }
 
-void Relay::back(const Endpoint& endpoint) {
+void Relay::on_endpoint_idle(const Endpoint& endpoint) {
   const auto out = out_.find(endpoint);
   if (out == out_.end() || --out->second > 0) return;
   out_.erase(out);
@@ -804,7 +822,7 @@
 void Relay::reload() {
   if (handed_over_) return;
   const auto rejected = [this](const net::Error& error) {
-    ++counted_.reload_failure;
+    ++metrics_.reload_failure;
     net::log::failed(net::log::Level::kWarn, "reload_rejected", error);
   };
   try {
@@ -812,7 +830,7 @@
     require_keys(config_.text, next.text);
     retire(next.settings);
     apply(next);
-    ++counted_.reload_success;
+    ++metrics_.reload_success;
     net::log::info("reloaded");
   } catch (const net::Error& error) {
     rejected(error);
@@ -824,14 +842,14 @@
 // A class that is gone stays in the settings, as it was, for a while: for clients.
 void Relay::retire(policy::Settings& next) {
   const Time now = steady_now();
-  std::map<std::string, Retired> retired;
+  std::map<std::string, RetiredClass> retired;
   std::set<std::string> named;
   for (const policy::ClassSettings& c : next.classes) named.insert(c.name);
   for (const policy::ClassSettings& old : config_.settings.classes) {
     const auto before = retired_.find(old.name);
     const bool gone = !named.contains(old.name);
     const bool again = gone && before != retired_.end() && before->second.gone;
-    const Retired entry = again ? before->second : Retired{now + kRetire, old.give_up, gone};
+    const RetiredClass entry = again ? before->second : RetiredClass{now + kRetire, old.max_lifetime, gone};
     if (entry.until <= now) continue;
     retired[old.name] = entry;
     if (gone) next.classes.push_back(old);
@@ -849,39 +867,40 @@
   config_.names = next.names;
   config_.report_fields = next.report_fields;
   config_.text = next.text;
-  for (auto& [id, away] : away_) {
-    if (away.untold) away.untold->in.ran_zone = zone_now(zones, away.untold->in.ran_zone);
+  for (auto& [id, away] : inherited_attempts_) {
+    if (away.untold) away.untold->in.possibly_run_zone = zone_now(zones, away.untold->in.possibly_run_zone);
   }
-  rules_.clear();
+  delivery_terms_.clear();
   forget_rules();
-  if (held_.size() > static_cast<size_t>(config_.settings.max_open)) last_over_ = last_number_;
-  happened(policy::SettingsChanged{settings_told(), std::move(zones)});
+  if (pending_messages_.size() > static_cast<size_t>(config_.settings.max_pending_messages))
+    last_over_ = last_number_;
+  queue_event(policy::SettingsChanged{settings_told(), std::move(zones)});
   if (clients_) clients_->limit(most_clients(config_));
   upstream_.set(upstream_limits(config_), config_.report_fields);
   if (renamed) {
     if (watch_) watch_->rename(config_.names);
-    told(directory_.read_again(config_.names));
+    on_endpoint_list(directory_.read_again(config_.names));
   }
   if (watch_) watch_->move(config_.discovery);
   notices_.move(config_.discovery);
 }
 
-std::pair<int, Endpoint> Relay::lane_of(const policy::Member& member) const {
+std::pair<int, Endpoint> Relay::route_of(const policy::EndpointInfo& member) const {
   const auto& kinds = config_.settings.kinds;
-  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].apart;
+  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].independent_endpoints;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
 }
 
 // A message that ended by a notice is over for others only once that is taken, and one whose call is out in
 // the process before once the module is told of it: until then none that came later under its key goes out.
-bool Relay::has_turn(const Held& held) const {
-  const uint64_t about = held.handed.about;
+bool Relay::has_turn(const PendingMessage& held) const {
+  const uint64_t about = held.handed.ordering_key;
   if (about == 0) return true;
   const bool waits =
       std::any_of(untold_.begin(), untold_.end(), [&](const auto& end) { return end.second == about; }) ||
-      std::any_of(away_.begin(), away_.end(), [&](const auto& entry) {
+      std::any_of(inherited_attempts_.begin(), inherited_attempts_.end(), [&](const auto& entry) {
         const auto& untold = entry.second.untold;
-        return untold && untold->in.key == about && untold->rules.in_order;
+        return untold && untold->in.ordering_key == about && untold->rules.in_order;
       });
   return !waits || !in_turn(rules_of(held.handed.message_class, held.rules), about);
 }
@@ -889,62 +908,62 @@
 // The last look before a call's first byte. While its connection came up the host may have been drained, its
 // destination may have told another call to wait, or the message may be over.
 bool Relay::may_start(const Call& call) {
-  const auto held = held_.find(call.id);
+  const auto held = pending_messages_.find(call.id);
   const ListedHost* host = directory_.find(call.endpoint);
-  if (handed_over_ || held == held_.end() || !directory_.active(call.endpoint) ||
+  if (handed_over_ || held == pending_messages_.end() || !directory_.active(call.endpoint) ||
       steady_now() > call.start_by)
     return false;
-  const auto wait = waits_.find(lane_of(host->member));
-  if (wait != waits_.end() && wait->second > steady_now()) return false;
+  const auto wait = retry_after_until_.find(route_of(host->member));
+  if (wait != retry_after_until_.end() && wait->second > steady_now()) return false;
   if (!has_turn(held->second)) return false;
   net::log::debug("call", "id", held->second.handed.id, "attempt", call.attempt, "destination",
                   held->second.handed.destination, "host", host->id, "timeout_ms", call.timeout / kMs);
   const auto zone = static_cast<size_t>(host->member.zone);
   const auto& zones = config_.names.zones;
-  return journal_.attempt(held->second.handed.id, call.attempt, clock_.now(), host->member.zone,
-                          zone < zones.size() ? zones[zone] : "");
+  return journal_.record_attempt(held->second.handed.id, call.attempt, clock_.now(), host->member.zone,
+                                 zone < zones.size() ? zones[zone] : "");
 }
 
 void Relay::ended(const policy::AttemptEnded& end, bool began) {
-  const auto held = held_.find(end.id);
+  const auto held = pending_messages_.find(end.id);
   if (handed_over_) {
-    if (held != held_.end()) pass_on(held->second.handed.id, end, began);
+    if (held != pending_messages_.end()) pass_on(held->second.handed.id, end, began);
     return;
   }
   const ListedHost* host = directory_.find(end.endpoint);
-  if (end.wait > 0 && (host != nullptr || held != held_.end())) {
+  if (end.retry_after > 0 && (host != nullptr || held != pending_messages_.end())) {
     // A host that is listed no more told it for its destination; where routes are apart, for a route that is
     // gone.
     const auto lane =
-        host != nullptr ? lane_of(host->member) : std::pair(held->second.handed.destination, Endpoint{});
-    Time& until = waits_[lane];
-    until = std::max(until, steady_now() + end.wait);
+        host != nullptr ? route_of(host->member) : std::pair(held->second.handed.destination, Endpoint{});
+    Time& until = retry_after_until_[lane];
+    until = std::max(until, steady_now() + end.retry_after);
   }
-  if (held != held_.end()) {
+  if (held != pending_messages_.end()) {
     net::log::debug("call_ended", "id", held->second.handed.id, "attempt", end.attempt, "destination",
                     held->second.handed.destination, "host", host == nullptr ? "" : host->id.c_str(),
-                    "outcome", name_of(end.outcome), "took_ms", end.took / kMs, "wait_ms", end.wait / kMs,
-                    "final", static_cast<int>(end.final));
+                    "outcome", name_of(end.outcome), "took_ms", end.latency / kMs, "wait_ms",
+                    end.retry_after / kMs, "final", static_cast<int>(end.final));
     const bool hanging = end.outcome == policy::Outcome::kTimeout || end.outcome == policy::Outcome::kReset ||
                          end.outcome == policy::Outcome::kCancelled ||
-                         end.outcome == policy::Outcome::kSpoilt;
-    const Handed& handed = held->second.handed;
-    if (hanging && rests(rules_of(handed.message_class, held->second.rules), handed.about))
-      rest(handed.about);
+                         end.outcome == policy::Outcome::kMalformedResponse;
+    const SubmittedMessage& handed = held->second.handed;
+    if (hanging && rests(rules_of(handed.message_class, held->second.rules), handed.ordering_key))
+      rest(handed.ordering_key);
     if (end.final) {
-      if (end.outcome == policy::Outcome::kOk) ++counted_.classes[held->second.handed.message_class].success;
+      if (end.outcome == policy::Outcome::kOk) ++metrics_.classes[held->second.handed.message_class].success;
       finish(end.id, {});
     } else if (began && never_ran(end.outcome)) {
-      journal_.never_ran(held->second.handed.id, end.attempt);
+      journal_.record_not_started(held->second.handed.id, end.attempt);
     }
   }
   policy::AttemptEnded told = end;
-  told.began = began;
-  happened(std::move(told));
-  back(end.endpoint);
+  told.call_started = began;
+  queue_event(std::move(told));
+  on_endpoint_idle(end.endpoint);
 }
 
-void Relay::happened(policy::Event event) {
+void Relay::queue_event(policy::Event event) {
   if (handed_over_) return;
   events_.push_back(std::move(event));
   if (step_posted_) return;
@@ -971,7 +990,7 @@
   std::map<uint64_t, std::string> turned_away;
   if (!pending_.empty()) {
     for (const policy::Action& action : actions) {
-      if (const auto* refuse = std::get_if<policy::Refuse>(&action)) {
+      if (const auto* refuse = std::get_if<policy::Reject>(&action)) {
         const Time ms = (refuse->retry_after + kMs - 1) / kMs;
         turned_away[refuse->id] = ms > 0 ? kRefused + " " + std::to_string(ms) : kRefused;
       } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
@@ -984,25 +1003,25 @@
   std::map<uint64_t, std::string> answers;  // one for all who handed the same message in
   for (const Pending& item : pending) {
     const auto [line, fresh] = answers.try_emplace(item.number, "+OK");
-    const auto held = held_.find(item.number);
-    if (fresh && held != held_.end()) {
-      const Handed& handed = held->second.handed;
-      ClassFigures& figures = counted_.classes[handed.message_class];
+    const auto held = pending_messages_.find(item.number);
+    if (fresh && held != pending_messages_.end()) {
+      const SubmittedMessage& handed = held->second.handed;
+      ClassMetrics& figures = metrics_.classes[handed.message_class];
       if (const auto away = turned_away.find(item.number); away != turned_away.end()) {
         line->second = away->second;
         ++(line->second.starts_with(kRefused) ? figures.overload : figures.error);
-      } else if (journal_.accepted(handed, clock_.from_steady(held->second.due), held->second.rules)) {
+      } else if (journal_.record_accepted(handed, clock_.from_steady(held->second.due), held->second.rules)) {
         held->second.accepted = true;
       } else {
         line->second = kBusy;  // no room on the disk
         ++figures.overload;
-        happened(policy::Withdrawn{item.number});
+        queue_event(policy::MessageWithdrawn{item.number});
       }
       net::log::debug("put", "id", handed.id, "class", handed.message_class, "destination",
-                      handed.destination, "life_ms", handed.life / kMs, "answer", line->second);
+                      handed.destination, "life_ms", handed.time_to_live / kMs, "answer", line->second);
       if (!held->second.accepted) {
         numbers_.erase(handed.id);
-        held_.erase(held);
+        pending_messages_.erase(held);
       }
     }
     item.answer(line->second);
@@ -1010,18 +1029,18 @@
 }
 
 void Relay::carry_out(const policy::Action& action) {
-  if (const auto* send = std::get_if<policy::Send>(&action)) {
-    const auto held = held_.find(send->id);
+  if (const auto* send = std::get_if<policy::SendAttempt>(&action)) {
+    const auto held = pending_messages_.find(send->id);
     const ListedHost* host = directory_.find(send->endpoint);
-    if (held == held_.end() || host == nullptr) {
+    if (held == pending_messages_.end() || host == nullptr) {
       policy::AttemptEnded moot;
       moot.id = send->id;
       moot.endpoint = send->endpoint;
-      moot.outcome = policy::Outcome::kMoot;
-      moot.began = false;
-      moot.final = held == held_.end();  // given back in this very turn for want of room
+      moot.outcome = policy::Outcome::kNotStarted;
+      moot.call_started = false;
+      moot.final = held == pending_messages_.end();  // given back in this very turn for want of room
       if (!moot.final) moot.attempt = held->second.attempts++;
-      return happened(std::move(moot));
+      return queue_event(std::move(moot));
     }
     Call call;
     call.id = send->id;
@@ -1032,33 +1051,34 @@
     call.key = held->second.handed.key;
     call.body = held->second.handed.body;
     call.timeout = send->timeout;
-    call.start_by = send->start_by;
+    call.start_by = send->latest_start;
     call.last = steady_now() + send->timeout >= held->second.due;
     ++out_[call.endpoint];
     join(std::move(call), host->member.kind);
-  } else if (const auto* refuse = std::get_if<policy::Refuse>(&action)) {
-    const auto held = held_.find(refuse->id);
-    if (held != held_.end()) finish(refuse->id, Notice{held->second.handed.id, true, refuse->retry_after});
+  } else if (const auto* refuse = std::get_if<policy::Reject>(&action)) {
+    const auto held = pending_messages_.find(refuse->id);
+    if (held != pending_messages_.end())
+      finish(refuse->id, FinalAnswer{held->second.handed.id, true, refuse->retry_after});
   } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
-    const auto held = held_.find(fail->id);
-    if (held != held_.end()) finish(fail->id, Notice{held->second.handed.id, false, 0});
+    const auto held = pending_messages_.find(fail->id);
+    if (held != pending_messages_.end()) finish(fail->id, FinalAnswer{held->second.handed.id, false, 0});
   } else if (const auto* cancel = std::get_if<policy::Cancel>(&action)) {
     upstream_.cancel(cancel->id, cancel->attempt);
-    const auto held = held_.find(cancel->id);
-    if (held != held_.end() && away_.contains(held->second.handed.id)) {
-      handover_.tell_before(Parcel::kCancel, held->second.handed.id);
+    const auto held = pending_messages_.find(cancel->id);
+    if (held != pending_messages_.end() && inherited_attempts_.contains(held->second.handed.id)) {
+      handover_.tell_before(HandoverFrame::kCancel, held->second.handed.id);
     }
-  } else if (const auto* probe = std::get_if<policy::Probe>(&action)) {
+  } else if (const auto* probe = std::get_if<policy::SendHealthCheck>(&action)) {
     const ListedHost* host = directory_.find(probe->endpoint);
-    if (host == nullptr) return happened(policy::ProbeEnded{probe->endpoint, false, 0, {}});
+    if (host == nullptr) return queue_event(policy::HealthCheckEnded{probe->endpoint, false, 0, {}});
     ++out_[probe->endpoint];
     upstream_.probe(probe->endpoint, host->address);
-  } else if (const auto* close = std::get_if<policy::CloseIdle>(&action)) {
+  } else if (const auto* close = std::get_if<policy::CloseIdleConnections>(&action)) {
     upstream_.close_idle(close->endpoint);
   } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
     wake_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
-  } else if (const auto* memory = std::get_if<policy::Remember>(&action)) {
-    remember(memory->memory);
+  } else if (const auto* memory = std::get_if<policy::PersistDestinationState>(&action)) {
+    remember(memory->state);
   } else if (const auto* log = std::get_if<policy::Log>(&action)) {
     net::log::info("decision", "text", log->text);
   }
@@ -1068,7 +1088,8 @@
 // one slot and one place under the host's limit.
 void Relay::join(Call call, int kind) {
   const auto& kinds = config_.settings.kinds;
-  const size_t most = kind < static_cast<int>(kinds.size()) ? static_cast<size_t>(kinds[kind].batch) : 1;
+  const size_t most =
+      kind < static_cast<int>(kinds.size()) ? static_cast<size_t>(kinds[kind].max_batch_size) : 1;
   if (most <= 1) return upstream_.call(std::move(call));
   std::vector<Call>& bundle = joined_[call.endpoint];
   size_t bytes = bundle_line(call).size();
@@ -1082,44 +1103,46 @@
 // The message that lives longest goes first: a host is held to the time of the first, and an answer after it
 // counts for none of them, though others have time left.
 void Relay::start_call(std::vector<Call> bundle) {
-  std::stable_sort(bundle.begin(), bundle.end(),
-                   [this](const Call& a, const Call& b) { return held_.at(a.id).due > held_.at(b.id).due; });
+  std::stable_sort(bundle.begin(), bundle.end(), [this](const Call& a, const Call& b) {
+    return pending_messages_.at(a.id).due > pending_messages_.at(b.id).due;
+  });
   upstream_.call(std::move(bundle));
 }
 
 // The message is over; with a notice, that is still owed.
-void Relay::finish(uint64_t number, std::optional<Notice> notice) {
-  const auto held = held_.find(number);
+void Relay::finish(uint64_t number, std::optional<FinalAnswer> notice) {
+  const auto held = pending_messages_.find(number);
   net::log::debug("end", "id", held->second.handed.id, "destination", held->second.handed.destination,
                   "state",
                   !notice            ? "settled"
                   : notice->returned ? "returned"
                                      : "failed",
-                  "after_ms", notice ? notice->after / kMs : 0);
+                  "after_ms", notice ? notice->retry_after / kMs : 0);
   if (notice) {
-    ClassFigures& figures = counted_.classes[held->second.handed.message_class];
+    ClassMetrics& figures = metrics_.classes[held->second.handed.message_class];
     ++(notice->returned ? figures.overload : figures.error);
-    const Handed& over = held->second.handed;
-    if (in_turn(rules_of(over.message_class, held->second.rules), over.about)) untold_[over.id] = over.about;
-    tell_end({std::move(*notice), held->second.due});
+    const SubmittedMessage& over = held->second.handed;
+    if (in_turn(rules_of(over.message_class, held->second.rules), over.ordering_key))
+      untold_[over.id] = over.ordering_key;
+    publish_outcome({std::move(*notice), held->second.due});
   } else {
-    journal_.done(held->second.handed.id);
+    journal_.record_acknowledged(held->second.handed.id);
   }
   numbers_.erase(held->second.handed.id);
-  held_.erase(held);
+  pending_messages_.erase(held);
   if (last_over_ == 0) return;
-  const auto over = std::count_if(held_.begin(), held_.end(),
+  const auto over = std::count_if(pending_messages_.begin(), pending_messages_.end(),
                                   [this](const auto& entry) { return entry.first <= last_over_; });
-  if (2 * over > config_.settings.max_open) return;
+  if (2 * over > config_.settings.max_pending_messages) return;
   last_over_ = 0;
-  happened(policy::SettingsChanged{settings_told(), {}});
+  queue_event(policy::SettingsChanged{settings_told(), {}});
 }
 
 // Its client may hand a message in again once it is told of the end: the next process must not call it then.
 // So the record comes first; without one the notice waits until the message's time is over, when no process
 // calls it either.
-void Relay::tell_end(UnrecordedEnd end) {
-  if (journal_.owed(end.notice) || end.due <= steady_now() + kRecordPause)
+void Relay::publish_outcome(UnrecordedEnd end) {
+  if (journal_.record_final_answer(end.notice) || end.due <= steady_now() + kRecordPause)
     return notices_.add(std::move(end.notice));
   unrecorded_ends_.push_back(std::move(end));
   if (unrecorded_ends_.size() == 1) record_ends();
@@ -1148,16 +1171,16 @@
   wake_timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
     armed_ = 0;
-    happened(policy::TimerFired{static_cast<uint64_t>(std::exchange(wake_, 0))});
+    queue_event(policy::TimerFired{static_cast<uint64_t>(std::exchange(wake_, 0))});
   });
 }
 
 void Relay::stop() {
   if (stopping_since_ != 0) return;
   stopping_since_ = steady_now();
-  net::log::info("stopping", "held", held_.size(), "handed_over", handed_over_ ? 1 : 0);
+  net::log::info("stopping", "held", pending_messages_.size(), "handed_over", handed_over_ ? 1 : 0);
   if (handed_over_) return;  // it ends as soon as it can
-  happened(policy::Closing{closing_at()});
+  queue_event(policy::ShutdownScheduled{closing_at()});
   wait_for_end();
 }
 
@@ -1171,12 +1194,13 @@
   for (const Upstream::Out& call : upstream_.calls_out()) {
     upstream_.cancel(call.messages.front().first, call.messages.front().second);
   }
-  for (const auto& [id, away] : away_) handover_.tell_before(Parcel::kCancel, id);
+  for (const auto& [id, away] : inherited_attempts_) handover_.tell_before(HandoverFrame::kCancel, id);
 }
 
 void Relay::wait_for_end() {
   if (handed_over_ && !handover_.has_successor()) give_up_calls();
-  if (handed_over_ && upstream_.out() == 0 && away_.empty() && (!clients_ || clients_->answered())) {
+  if (handed_over_ && upstream_.out() == 0 && inherited_attempts_.empty() &&
+      (!clients_ || clients_->answered())) {
     return io_.stop();
   }
   const Time age = stopping_since_ == 0 ? 0 : steady_now() - stopping_since_;
@@ -1184,8 +1208,8 @@
     closed_ = true;
     if (clients_) clients_->finish();
   }
-  const bool idle = !handed_over_ && held_.empty() && unrecorded_ends_.empty() && notices_.empty() &&
-                    (!clients_ || clients_->ended());
+  const bool idle = !handed_over_ && pending_messages_.empty() && unrecorded_ends_.empty() &&
+                    notices_.empty() && (!clients_ || clients_->ended());
   if (closed_ && idle) return io_.stop();
   const bool last = age >= kLastCall;
   if (last) {  // a request that was read has its answer
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -44,34 +44,34 @@
   std::optional<tcp::endpoint> control_address() const;
 
  private:
-  struct Held {
-    Handed handed;
+  struct PendingMessage {
+    SubmittedMessage handed;
     Time due = 0;
     int attempts = 0;
     bool accepted = false;  // its record is written
     int64_t rules = 0;      // what its class allowed when it came, by number; 0: not told
   };
-  struct Retired {  // a class as it was: clients learn of new settings a little later
+  struct RetiredClass {  // a class as it was: clients learn of new settings a little later
     Time until = 0;
     Time give_up = 0;
     bool gone = false;  // it is in the settings only for this
   };
-  struct MessageRules : policy::ClassSettings {  // as they were when a message came
+  struct DeliveryTerms : policy::ClassSettings {  // as they were when a message came
     int most_attempts = 0;
   };
-  struct Kept {  // a message of the process before
-    policy::Arrival in;
-    MessageRules rules;
+  struct RecoveredMessage {  // a message of the process before
+    policy::MessageArrived in;
+    DeliveryTerms rules;
   };
-  struct Away {  // a message whose call the process before still has out
+  struct InheritedAttempt {  // a message whose call the process before still has out
     uint64_t number = 0;
     int attempt = 0;
-    policy::Arrival::Out call;
-    std::optional<Kept> untold;  // its host is not listed any more: told once the call has ended
+    policy::MessageArrived::InFlightCall call;
+    std::optional<RecoveredMessage> untold;  // its host is not listed any more: told once the call has ended
   };
   struct UnrecordedEnd {  // the disk did not take its record: told once it has, or when no process calls the
                           // message any more
-    Notice notice;
+    FinalAnswer notice;
     Time due = 0;
   };
   struct Pending {  // handed in during this turn, not yet decided on
@@ -79,87 +79,88 @@
     Clients::Answer answer;
   };
 
-  Figures figures() const;
+  Metrics metrics() const;
   OperatorReply suspend(const std::string& id, bool out);
   OperatorReply operate(const OperatorCall& call);
-  void fence(const Claim& claim);
+  void fence(const LeaseClaim& claim);
   void recall();
   void follow();
   void told_by_registry(const nlohmann::json& line);
   int64_t rules_now(const std::string& message_class);
-  static MessageRules read_rules(const std::string& message_class, const std::string& text);
+  static DeliveryTerms read_rules(const std::string& message_class, const std::string& text);
   std::string rules_text(const policy::ClassSettings& message_class) const;
-  MessageRules rules_of(const std::string& message_class, int64_t number) const;
+  DeliveryTerms rules_of(const std::string& message_class, int64_t number) const;
   void forget_rules();
-  void arrive(const std::vector<Kept>& messages);
+  void arrive(const std::vector<RecoveredMessage>& messages);
   std::shared_ptr<policy::Settings> settings_told() const;
-  int zone_of(const Sent& sent) const;
+  int zone_of(const RecordedAttempt& sent) const;
   bool rests(const policy::ClassSettings& rules, uint64_t about) const;
-  bool has_turn(const Held& held) const;
+  bool has_turn(const PendingMessage& held) const;
   void rest(uint64_t about);
-  std::optional<policy::AttemptEnded> cut_off(policy::Arrival& in) const;
+  std::optional<policy::AttemptEnded> cut_off(policy::MessageArrived& in) const;
   void open();
   void resume();
   void take_over();
-  bool resume_away(Kept& kept, Away& away);
-  void heard_before(std::optional<Parcel> parcel);
+  bool resume_away(RecoveredMessage& kept, InheritedAttempt& away);
+  void on_predecessor_frame(std::optional<HandoverFrame> parcel);
   void away_ended(const std::string& id, policy::AttemptEnded end, bool began);
   void hand_over();
   void give_up_calls();
   void pass_on(const std::string& id, const policy::AttemptEnded& end, bool began);
-  void remember(const policy::DestinationMemory& memory);
+  void remember(const policy::DestinationState& memory);
   void remember_host(const ListedHost& host);
   void forget_gone(const Endpoint& endpoint);
   void retire(policy::Settings& next);
   void apply(const Config& next);
   int class_of(const std::string& name) const;
   int tenant_of(const std::string& name) const;
-  void put(Handed handed, Clients::Answer answer);
-  void told(const HostList& list);
+  void accept_message(SubmittedMessage handed, Clients::Answer answer);
+  void on_endpoint_list(const HostList& list);
   bool may_start(const Call& call);
   void ended(const policy::AttemptEnded& end, bool began);
-  void back(const Endpoint& endpoint);
-  void happened(policy::Event event);
+  void on_endpoint_idle(const Endpoint& endpoint);
+  void queue_event(policy::Event event);
   void step();
   void answer_pending(const std::vector<policy::Action>& actions);
   void carry_out(const policy::Action& action);
   void join(Call call, int kind);
   void start_call(std::vector<Call> bundle);
-  void finish(uint64_t number, std::optional<Notice> notice);
-  void tell_end(UnrecordedEnd end);
+  void finish(uint64_t number, std::optional<FinalAnswer> notice);
+  void publish_outcome(UnrecordedEnd end);
   void record_ends();
   void arm();
   Time closing_at() const;
   void wait_for_end();
-  std::pair<int, Endpoint> lane_of(const policy::Member& member) const;
+  std::pair<int, Endpoint> route_of(const policy::EndpointInfo& member) const;
 
   boost::asio::io_context& io_;
   Config config_;
-  std::map<std::string, Retired> retired_;
-  std::map<std::string, int64_t> rules_;  // of the settings' classes: the numbers that are remembered
+  std::map<std::string, RetiredClass> retired_;
+  std::map<std::string, int64_t>
+      delivery_terms_;  // of the settings' classes: the numbers that are remembered
   Directory directory_;
   std::unique_ptr<Control> control_;  // before the folder is taken over: its address may not be free
   Handover handover_;
   bool handed_over_ = false;  // all but the calls that were out is another process's
-  std::map<std::string, Away> away_;
+  std::map<std::string, InheritedAttempt> inherited_attempts_;
   Descriptor listener_;  // of the process before
   Journal journal_;
   DurableClock clock_;  // of all times in the journal
-  Fences fences_;
+  FencingTokens fences_;
   policy::Policy policy_;
   std::vector<policy::Event> events_;
   std::vector<Pending> pending_;
   bool step_posted_ = false;
   uint64_t last_number_ = 0;
   uint64_t last_over_ = 0;  // up to this number they were taken on under a greater cap; 0: none
-  std::unordered_map<uint64_t, Held> held_;
+  std::unordered_map<uint64_t, PendingMessage> pending_messages_;
   std::unordered_map<std::string, uint64_t> numbers_;
-  std::map<std::pair<int, Endpoint>, Time> waits_;  // told waits: until when nothing goes there
-  std::map<Endpoint, std::vector<Call>> joined_;    // what this turn sends to hosts that take bundles
-  std::map<Endpoint, int> out_;                     // calls and probes out
-  std::map<std::string, uint64_t> untold_;  // notices nobody took yet, of messages in order: their keys
-  Time wake_ = 0;                           // when the module wants to be asked again; 0: never
-  Time armed_ = 0;                          // and for when the timer is set
+  std::map<std::pair<int, Endpoint>, Time> retry_after_until_;  // told waits: until when nothing goes there
+  std::map<Endpoint, std::vector<Call>> joined_;  // what this turn sends to hosts that take bundles
+  std::map<Endpoint, int> out_;                   // calls and probes out
+  std::map<std::string, uint64_t> untold_;        // notices nobody took yet, of messages in order: their keys
+  Time wake_ = 0;                                 // when the module wants to be asked again; 0: never
+  Time armed_ = 0;                                // and for when the timer is set
   boost::asio::steady_timer wake_timer_;
   boost::asio::steady_timer stop_timer_;
   boost::asio::steady_timer record_timer_;
@@ -168,14 +169,14 @@
   bool closed_ = false;      // clients were let go
   Notices notices_;
   Upstream upstream_;
-  std::optional<Watch> watch_;               // on discovery; or
-  std::optional<registry::Follower> fleet_;  // on the registry
-  std::string identity_;                     // of the registry's list; empty: the list is discovery's
+  std::optional<Watch> watch_;                   // on discovery; or
+  std::optional<registry::ListFollower> fleet_;  // on the registry
+  std::string identity_;                         // of the registry's list; empty: the list is discovery's
   std::function<void(const tcp::endpoint&)> listening_;
   boost::asio::steady_timer open_timer_;
   std::optional<Clients> clients_;  // once what was taken on before is resumed
   bool draining_ = false;
-  Figures counted_;  // what is counted here; the rest is looked up
+  Metrics metrics_;  // what is counted here; the rest is looked up
 };
 
 }  // namespace turntally::relay
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -212,7 +212,7 @@
     if (now >= until_) return give_up(policy::Outcome::kTimeout);
     const auto self = shared_from_this();
     if (now >= whole_by_) {
-      if (!written_) return finish(policy::Outcome::kMoot);
+      if (!written_) return finish(policy::Outcome::kNotStarted);
       whole_by_ = kNever;
       if (held_back()) return give_up(policy::Outcome::kTimeout);
     }
@@ -234,7 +234,9 @@
 
   // What was never wholly written cannot have run.
   policy::Outcome unanswered(policy::Outcome outcome) const {
-    return heard_ ? policy::Outcome::kSpoilt : written_ ? outcome : policy::Outcome::kConnectFailed;
+    return heard_     ? policy::Outcome::kMalformedResponse
+           : written_ ? outcome
+                      : policy::Outcome::kConnectFailed;
   }
 
   // The host has no room for what was written, and the system sends it whenever it has, also after a close
@@ -266,13 +268,13 @@
     }
     if (going.empty()) {
       idle_ = true;
-      return finish(policy::Outcome::kMoot);
+      return finish(policy::Outcome::kNotStarted);
     }
     // Asking puts the calls on record, and meanwhile the host may have written or ended the connection.
     if (kept_ && !usable(stream_)) return connect_anew();
     for (Part& part : parts_) {
       if (!part.over && std::find(going.begin(), going.end(), &part) == going.end()) {
-        end(part, policy::Outcome::kMoot);
+        end(part, policy::Outcome::kNotStarted);
       }
     }
     bundle_ = going.size() > 1;
@@ -398,7 +400,7 @@
   // says so; that is not enough for a bundle, whose messages may fare differently.
   void spoilt() {
     final_ = delivered_ && !bundle_;
-    finish(final_ ? policy::Outcome::kOk : policy::Outcome::kSpoilt);
+    finish(final_ ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse);
   }
 
   // A line for each message; all of them or none are believed.
@@ -420,9 +422,9 @@
       } else if (what == "failed") {
         part->outcome = policy::Outcome::kError;
       } else if (what == "busy") {
-        part->outcome = policy::Outcome::kFull;
+        part->outcome = policy::Outcome::kRejected;
       } else if (what == "void" || what == "used_up") {
-        part->outcome = policy::Outcome::kMoot;
+        part->outcome = policy::Outcome::kNotStarted;
         part->gone = what == "void";
       } else {
         return false;
@@ -449,14 +451,15 @@
         return finish(policy::Outcome::kOk);
       case 410:
         final_ = true;
-        return finish(policy::Outcome::kMoot);
+        return finish(policy::Outcome::kNotStarted);
       case 429:
         wait_ = parse_wait(view(answer[http::field::retry_after]));
-        return finish(policy::Outcome::kFull);
+        return finish(policy::Outcome::kRejected);
       case 503:
-        return finish(view(answer["X-Egress-Full"]) == "1" ? policy::Outcome::kMoot : policy::Outcome::kFull);
+        return finish(view(answer["X-Egress-Full"]) == "1" ? policy::Outcome::kNotStarted
+                                                           : policy::Outcome::kRejected);
       case 504:
-        return finish(policy::Outcome::kMoot);
+        return finish(policy::Outcome::kNotStarted);
       default:
         return finish(policy::Outcome::kError);
     }
@@ -495,9 +498,9 @@
     out.endpoint = endpoint_;
     out.outcome = outcome;
     out.final = part.outcome ? outcome == policy::Outcome::kOk || part.gone : final_;
-    out.took = steady_now() - begun_;
-    out.wait = wait_;
-    out.report = report_;
+    out.latency = steady_now() - begun_;
+    out.retry_after = wait_;
+    out.load_report = report_;
     owner_->ended_(out, part.began);
   }
 
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -45,7 +45,7 @@
   // Asked right before a call's first byte, for each message: one that may no longer start ends as kMoot.
   using MayStart = std::function<bool(const Call&)>;
   using Ended = std::function<void(const policy::AttemptEnded&, bool began)>;  // began: MayStart allowed it
-  using Probed = std::function<void(const policy::ProbeEnded&)>;
+  using Probed = std::function<void(const policy::HealthCheckEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
            MayStart may_start, Ended ended, Probed probed);
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -71,8 +71,8 @@
   size_t at_ = 0;
 };
 
-policy::Member read_member(Reader& in) {
-  policy::Member out;
+policy::EndpointInfo read_member(Reader& in) {
+  policy::EndpointInfo out;
   const uint8_t state = in.u8("readiness");
   if (state > 2) in.fail("unknown readiness");
   out.listing = state == 1   ? policy::Listing::kReady
@@ -88,13 +88,13 @@
   return out;
 }
 
-policy::Arrival read_arrival(Reader& in) {
-  policy::Arrival out;
+policy::MessageArrived read_arrival(Reader& in) {
+  policy::MessageArrived out;
   out.id = in.u64("op_id");
   out.message_class = in.u8("category");
   out.tenant = in.u16("customer");
-  out.key = in.u64("entity");
-  out.due = in.time("due_s");
+  out.ordering_key = in.u64("entity");
+  out.deadline = in.time("due_s");
   in.time("effort_s");
   const float destination = in.f32("terminates_at");
   if (!(destination >= 0 && destination <= 0xffff)) in.fail("terminates_at is out of range");
@@ -105,9 +105,9 @@
 
 policy::Outcome to_outcome(Reader& in) {
   constexpr policy::Outcome kByCode[] = {policy::Outcome::kError,         policy::Outcome::kOk,
-                                         policy::Outcome::kFull,          policy::Outcome::kTimeout,
+                                         policy::Outcome::kRejected,      policy::Outcome::kTimeout,
                                          policy::Outcome::kConnectFailed, policy::Outcome::kReset,
-                                         policy::Outcome::kCancelled,     policy::Outcome::kMoot};
+                                         policy::Outcome::kCancelled,     policy::Outcome::kNotStarted};
   const uint8_t code = in.u8("state_code");
   if (code >= std::size(kByCode)) in.fail("unknown state_code");
   return kByCode[code];
@@ -117,27 +117,27 @@
   policy::AttemptEnded out;
   out.id = in.u64("op_id");
   out.endpoint = in.endpoint();
-  out.took = in.time("took_s");
+  out.latency = in.time("took_s");
   out.outcome = to_outcome(in);
   out.final = in.u8("final") != 0;
   const uint32_t note = in.u32("note");
-  if (out.outcome == policy::Outcome::kFull) out.wait = Time{note} * 1000;
+  if (out.outcome == policy::Outcome::kRejected) out.retry_after = Time{note} * 1000;
   out.attempt = in.u8("hop");
-  out.report = in.report();
+  out.load_report = in.report();
   return out;
 }
 
-policy::ProbeEnded read_probe(Reader& in) {
-  policy::ProbeEnded out;
+policy::HealthCheckEnded read_probe(Reader& in) {
+  policy::HealthCheckEnded out;
   out.endpoint = in.endpoint();
   out.ok = to_outcome(in) == policy::Outcome::kOk;
-  out.took = in.time("took_s");
-  out.report = in.report();
+  out.latency = in.time("took_s");
+  out.load_report = in.report();
   return out;
 }
 
-policy::PeerNote read_note(Reader& in) {
-  policy::PeerNote out;
+policy::GossipReceived read_note(Reader& in) {
+  policy::GossipReceived out;
   out.from = in.u16("by");
   const uint16_t count = in.u16("octets");
   out.bytes = in.raw(count, "octets");
@@ -170,13 +170,13 @@
 struct ActionWriter {
   std::string& out;
 
-  void operator()(const policy::Send& a) const {
+  void operator()(const policy::SendAttempt& a) const {
     put<uint8_t>(out, 7);
     put(out, a.id);
     put_endpoint(out, a.endpoint);
     put_time(out, a.timeout);
   }
-  void operator()(const policy::Refuse& a) const {
+  void operator()(const policy::Reject& a) const {
     put<uint8_t>(out, 2);
     put(out, a.id);
     put_time(out, a.retry_after);
@@ -190,11 +190,11 @@
     put(out, a.id);
     put(out, static_cast<uint8_t>(a.attempt));
   }
-  void operator()(const policy::Probe& a) const {
+  void operator()(const policy::SendHealthCheck& a) const {
     put<uint8_t>(out, 13);
     put_endpoint(out, a.endpoint);
   }
-  void operator()(const policy::CloseIdle& a) const {
+  void operator()(const policy::CloseIdleConnections& a) const {
     put<uint8_t>(out, 1);
     put_endpoint(out, a.endpoint);
   }
@@ -203,16 +203,16 @@
     put(out, a.token);
     put_time(out, a.at);
   }
-  void operator()(const policy::WatchList&) const {
+  void operator()(const policy::OpenListWatch&) const {
     put<uint8_t>(out, 8);
     put<uint8_t>(out, 1);
   }
-  void operator()(const policy::TellPeers& a) const {
+  void operator()(const policy::SendGossip& a) const {
     put<uint8_t>(out, 11);
     put<uint16_t>(out, 0xffff);
     put_text(out, a.bytes);
   }
-  void operator()(const policy::Remember&) const {}
+  void operator()(const policy::PersistDestinationState&) const {}
   void operator()(const policy::Log& a) const {
     put<uint8_t>(out, 10);
     put_text(out, a.text);
@@ -255,14 +255,15 @@
         const uint32_t ref = in.u32("ref");
         const uint8_t form = in.u8("form");
         in.u32("gen");
-        policy::MembersChanged event;
+        policy::EndpointListChanged event;
         if (form == 3) {
-          event.form = policy::MembersChanged::Form::kFailed;
+          event.form = policy::EndpointListChanged::Form::kFailed;
         } else if (form == 0 || form == 2 || form == 4) {
-          event.form = form == 0 ? policy::MembersChanged::Form::kDelta : policy::MembersChanged::Form::kFull;
+          event.form = form == 0 ? policy::EndpointListChanged::Form::kDelta
+                                 : policy::EndpointListChanged::Form::kFull;
           const auto list = lists_.find(ref);
           if (list == lists_.end()) in.fail("view of an undefined list");
-          event.members = list->second;
+          event.endpoints = list->second;
         } else {
           in.fail("unknown form");
         }
@@ -279,7 +280,7 @@
         add(policy::Event(read_outcome(in)));
         break;
       case 6:
-        add(policy::Event(policy::Withdrawn{in.u64("op_id")}));
+        add(policy::Event(policy::MessageWithdrawn{in.u64("op_id")}));
         break;
       case 7:
         add(policy::Event(policy::TimerFired{in.u64("mark")}));
@@ -298,7 +299,7 @@
         const uint32_t count = in.u32("nodes_list");
         if (ref >= kLists) in.fail("list number is out of range");
         if (count > in.left() / kMemberBytes) in.fail("nodes_list is cut short");
-        auto list = std::make_shared<std::vector<policy::Member>>();
+        auto list = std::make_shared<std::vector<policy::EndpointInfo>>();
         list->reserve(count);
         for (uint32_t k = 0; k < count; ++k) list->push_back(read_member(in));
         lists_[ref] = std::move(list);
@@ -323,12 +324,13 @@
 
 void Encoder::actions(int instance, std::span<const policy::Action> actions) {
   const auto kept = [](const policy::Action& action) {
-    return std::holds_alternative<policy::Remember>(action);
+    return std::holds_alternative<policy::PersistDestinationState>(action);
   };
   if (std::all_of(actions.begin(), actions.end(), kept)) return;
   speaking(instance);
   for (const policy::Action& action : actions) {
-    if (std::holds_alternative<policy::Remember>(action)) continue;  // nothing outlasts a simulated relay
+    if (std::holds_alternative<policy::PersistDestinationState>(action))
+      continue;  // nothing outlasts a simulated relay
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -52,7 +52,7 @@
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
 
  private:
-  std::map<uint32_t, std::shared_ptr<const std::vector<policy::Member>>> lists_;
+  std::map<uint32_t, std::shared_ptr<const std::vector<policy::EndpointInfo>>> lists_;
 };
 
 // Builds one reply.
--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -9,7 +9,7 @@
 int main() {
   turntally::policy::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].effect = turntally::policy::Effect::kSafe;
+  settings.classes[0].effect = turntally::policy::Idempotency::kIdempotent;
   settings.classes[0].target = 1'000'000;
   settings.classes[0].give_up = 4'000'000;
   settings.kinds.resize(1);
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -142,7 +142,7 @@
   std::vector<std::string> calls;                  // for anything else
   std::string identity = "one";
   bool refuses_members = false;
-  registry::Leases leases;
+  registry::LeaseTable leases;
 
  private:
   static int64_t now() { return net::steady_now() / 1000; }
@@ -152,13 +152,13 @@
 };
 
 net::HttpReply PlayedRegistry::reply(const net::HttpRequest& request) {
-  using Kind = registry::LeaseCall::Kind;
-  using Said = registry::LeaseAnswer::Kind;
+  using Kind = registry::LeaseCommand::Kind;
+  using Said = registry::LeaseResult::Kind;
   static const std::map<std::string, Kind> kKinds = {{"campaign", Kind::kCampaign},
                                                      {"renew", Kind::kRenew},
                                                      {"release", Kind::kRelease},
                                                      {"hand_over", Kind::kHandOver},
-                                                     {"record", Kind::kRecord}};
+                                                     {"record", Kind::kCheckpoint}};
   const auto said = [](int status, const json& body) {
     return net::HttpReply{status, body.dump(), "application/json", {}};
   };
@@ -172,20 +172,21 @@
                       body.value("ttl_ms", int64_t{0}), body.value("token", registry::Token{0}),
                       body.value("to", ""), body.value("record", "")});
     switch (answer.kind) {
-      case Said::kHeld:
-      case Said::kWaits:
-        return said(200, {{"outcome", answer.kind == Said::kHeld ? "held" : "waits"},
+      case Said::kGranted:
+      case Said::kQueued:
+        return said(200, {{"outcome", answer.kind == Said::kGranted ? "held" : "waits"},
                           {"token", answer.token},
                           {"holder", answer.holder},
                           {"place", answer.place},
-                          {"asked_back", answer.asked_back},
-                          {"record", answer.record}});
+                          {"asked_back", answer.release_requested},
+                          {"record", answer.checkpoint}});
       case Said::kFenced:
         return said(409, {{"code", "lease_fenced"}, {"error", "another holds it"}});
       case Said::kUnknown:
         return said(404, {{"code", "lease_unknown"}, {"error", "no such lease"}});
       case Said::kRefused:
-        return said(409, {{"code", "lease_refused"}, {"error", "not now"}, {"wait_ms", answer.wait_ms}});
+        return said(409,
+                    {{"code", "lease_refused"}, {"error", "not now"}, {"wait_ms", answer.retry_after_ms}});
     }
   }
   if (request.path == "/api/mirror") {
@@ -552,7 +553,7 @@
   EXPECT_EQ(discovery_.watches, std::vector<std::string>{"4"});  // one for all
   const registry::Token token = last()["token"];
   const std::string holder = registry_.leases.all().at("task/mirror").holder;
-  until([this] { return !registry_.leases.all().at("task/mirror").line.empty(); }, "a second one in line");
+  until([this] { return !registry_.leases.all().at("task/mirror").queue.empty(); }, "a second one in line");
   ::kill(processes_.at(holder.substr(0, 1)), SIGKILL);
   discovery_.list = line(6, true, {member("c")});
   until([this] { return mirrored(json::array({member("c")})); }, "the successor's list");
@@ -610,7 +611,7 @@
   }
   json record() const {
     const auto it = registry_.leases.all().find("task/backup");
-    return it == registry_.leases.all().end() ? json() : json::parse(it->second.record, nullptr, false);
+    return it == registry_.leases.all().end() ? json() : json::parse(it->second.checkpoint, nullptr, false);
   }
   void until_kept(uint64_t revision) {
     until([&] { return record().is_object() && record()["revision"] == revision; }, "a backup");
@@ -655,7 +656,7 @@
   until_kept(7);
   const int64_t made = record()["at_ms"];
   const auto& lease = registry_.leases.all().at("task/backup");
-  until([&] { return !lease.line.empty(); }, "a second one in line");
+  until([&] { return !lease.queue.empty(); }, "a second one in line");
   const registry::Token token = lease.token;
   ::kill(processes_.at(lease.holder.substr(0, 1)), SIGKILL);
   show(8, 8);
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -287,7 +287,7 @@
       : scenario(parse_scenario("test", kPlain + faults)) {
     scenario.seconds = seconds;
     plan = draw_plan(scenario, seed);
-    played = play(scenario, plan, {TURNTALLY_RELAY, folder.path, "debug", {}, TURNTALLY});
+    played = run_scenario(scenario, plan, {TURNTALLY_RELAY, folder.path, "debug", {}, TURNTALLY});
     verdicts = check(played.history, rules_of(scenario, plan));
     said = summary(played.history, verdicts);
   }
@@ -304,7 +304,7 @@
   Folder folder;
   Scenario scenario;
   Plan plan;
-  Played played;
+  ScenarioResult played;
   std::vector<Verdict> verdicts;
   std::string said;
 };
@@ -431,7 +431,7 @@
   Scenario scenario =
       parse_scenario("test", quick + "[[class]]\nname = \"c\"\ntarget_s = 0.2\ngive_up_s = 1\n");
   const Plan plan = draw_plan(scenario, 1);
-  const Played played = play(scenario, plan, {script, folder.path, "info", {}});
+  const ScenarioResult played = run_scenario(scenario, plan, {script, folder.path, "info", {}});
   const auto verdicts = check(played.history, rules_of(scenario, plan));
   EXPECT_FALSE(verdicts.front().broken.empty());
   EXPECT_EQ(verdicts.front().name, "one_end");
--- a/tests/lab/lease_history_test.cpp
+++ b/tests/lab/lease_history_test.cpp
@@ -122,7 +122,7 @@
   boost::asio::io_context io;
   const net::tcp::endpoint at(boost::asio::ip::make_address("127.0.0.1"), 0);
   LeaseHistory history;
-  Thing thing(io, at, 0, [&](LeaseRecord r) { history.push_back(std::move(r)); });
+  FencedResource thing(io, at, 0, [&](LeaseRecord r) { history.push_back(std::move(r)); });
   const auto ask = [&](const char* token, bool fence_only, const char* lease = "task/call") {
     std::map<std::string, std::string> fields = {
         {"X-Lease", lease}, {"X-Lease-Token", token}, {"X-Lease-Holder", "h"}};
--- a/tests/lab/lease_scenario_test.cpp
+++ b/tests/lab/lease_scenario_test.cpp
@@ -40,12 +40,13 @@
 
 class LeasePlays : public ::testing::Test {
  protected:
-  lab::LeasePlayed play(const std::string& toml, uint64_t seed = 1) {
+  lab::LeaseScenarioResult play(const std::string& toml, uint64_t seed = 1) {
     std::string folder = ::testing::TempDir() + "lease-play-XXXXXX";
     if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder");
     const auto scenario =
         lab::parse_lease_scenario("play", "[lease]\nttl_ms = 600\nmost_ttl_ms = 600\n" + toml);
-    const lab::LeasePlayed out = lab::play_leases(scenario, {TURNTALLY, folder, seed, "info", {}});
+    const lab::LeaseScenarioResult out =
+        lab::run_lease_scenario(scenario, {TURNTALLY, folder, seed, "info", {}});
     EXPECT_TRUE(lab::held(out.verdicts))
         << lab::summary({}, out.verdicts) << "\nseed " << seed << ", " << folder;
     EXPECT_GT(out.figures.acts, 20U);
--- a/tests/lab/lease_search.cpp
+++ b/tests/lab/lease_search.cpp
@@ -19,24 +19,25 @@
   std::vector<uint64_t> first;
 };
 
-int replay(const lease_world::LeaseWorldSettings& settings) {
-  const lease_world::LeaseHistory history = lease_world::play_leases(settings);
-  const auto breaches = lease_world::check_leases(history);
+int replay(const lease_simulation::LeaseWorldSettings& settings) {
+  const lease_simulation::LeaseHistory history = lease_simulation::play_leases(settings);
+  const auto breaches = lease_simulation::check_leases(history);
   size_t next = 0;
   for (size_t i = 0; i <= history.events.size(); ++i) {
-    if (i < history.events.size()) std::printf("%s\n", lease_world::line(history.events[i]).c_str());
+    if (i < history.events.size()) std::printf("%s\n", lease_simulation::line(history.events[i]).c_str());
     for (; next < breaches.size() && breaches[next].event == i; ++next) {
-      std::printf("!!!!!!!!!! %s: %s\n", lease_world::kLeaseRules[static_cast<size_t>(breaches[next].rule)],
+      std::printf("!!!!!!!!!! %s: %s\n",
+                  lease_simulation::kLeaseRules[static_cast<size_t>(breaches[next].rule)],
                   breaches[next].what.c_str());
     }
   }
   std::printf("seed %llu: %zu events, %zu breaches, hash %s\n",
               static_cast<unsigned long long>(settings.seed), history.events.size(), breaches.size(),
-              net::hex(lease_world::hash(history)).c_str());
+              net::hex(lease_simulation::hash(history)).c_str());
   return breaches.empty() ? 0 : 1;
 }
 
-int search(const lease_world::LeaseWorldSettings& settings, uint64_t from, uint64_t to, unsigned jobs) {
+int search(const lease_simulation::LeaseWorldSettings& settings, uint64_t from, uint64_t to, unsigned jobs) {
   const auto begin = std::chrono::steady_clock::now();
   std::atomic<uint64_t> next{from};
   std::mutex lock;
@@ -47,15 +48,15 @@
   uint64_t longest_seed = 0;
   const auto work = [&] {
     for (uint64_t seed = next++; seed <= to; seed = next++) {
-      lease_world::LeaseWorldSettings one = settings;
+      lease_simulation::LeaseWorldSettings one = settings;
       one.seed = seed;
-      const lease_world::LeaseHistory history = lease_world::play_leases(one);
+      const lease_simulation::LeaseHistory history = lease_simulation::play_leases(one);
       std::map<std::string, bool> broken;
-      for (const auto& breach : lease_world::check_leases(history)) {
-        broken[lease_world::kLeaseRules[static_cast<size_t>(breach.rule)]] = true;
+      for (const auto& breach : lease_simulation::check_leases(history)) {
+        broken[lease_simulation::kLeaseRules[static_cast<size_t>(breach.rule)]] = true;
       }
-      const uint64_t hash = lease_world::hash(history);
-      const lease::Time alive = lease_world::alive_after(history);
+      const uint64_t hash = lease_simulation::hash(history);
+      const lease::Time alive = lease_simulation::alive_after(history);
       const std::lock_guard guard(lock);
       events += history.events.size();
       sum += net::mix(hash ^ seed);  // in any order of seeds
@@ -95,7 +96,7 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"Leases in simulated time: who may act, over many seeds (docs/leases.md)"};
-  lease_world::LeaseWorldSettings settings;
+  lease_simulation::LeaseWorldSettings settings;
   std::string seeds = "1..1000";
   unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
   std::vector<std::string> without;
@@ -103,7 +104,7 @@
   app.add_option("--seeds", seeds, "FROM..TO")->capture_default_str();
   app.add_option("--jobs", jobs)->capture_default_str()->check(CLI::Range(1U, 256U));
   app.add_option("--without", without, "take this guard out")
-      ->check(CLI::IsMember(lease_world::LeaseGuards::names()));
+      ->check(CLI::IsMember(lease_simulation::LeaseGuards::names()));
   app.add_option("--replay", seed, "print the whole history of this seed");
   app.add_option("--drift", settings.drift, "of all clocks, at most")
       ->capture_default_str()
--- a/tests/lab/lease_simulation_test.cpp
+++ b/tests/lab/lease_simulation_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <thread>
 
-namespace turntally::lease_world {
+namespace turntally::lease_simulation {
 namespace {
 
 using Kind = LeaseEvent::Kind;
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace turntally::lease_world
+}  // namespace turntally::lease_simulation
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -449,7 +449,7 @@
     settings_.folder = folder_;
     settings_.found = {{1, settings_.address}};
     settings_.check_every = 4;
-    listener_.applied = [this](uint64_t at, const registry::Command&, const registry::Answer&) {
+    listener_.applied = [this](uint64_t at, const registry::Command&, const registry::ApplyResult&) {
       EXPECT_GT(at, index_);
       index_ = at;
     };
@@ -508,11 +508,12 @@
 // A play of real processes; all that must hold holds, and the faults took place.
 class Plays : public ::testing::Test {
  protected:
-  lab::RegistryPlayed play(const std::string& toml, uint64_t seed = 1) {
+  lab::RegistryScenarioResult play(const std::string& toml, uint64_t seed = 1) {
     std::string folder = ::testing::TempDir() + "registry-play-XXXXXX";
     if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder");
     const auto scenario = lab::parse_registry_scenario("play", toml);
-    const lab::RegistryPlayed out = lab::play_registry(scenario, {TURNTALLY, folder, seed, "info", {}});
+    const lab::RegistryScenarioResult out =
+        lab::run_registry_scenario(scenario, {TURNTALLY, folder, seed, "info", {}});
     EXPECT_TRUE(lab::held(out.verdicts))
         << lab::summary({}, out.verdicts) << "\nseed " << seed << ", " << folder;
     EXPECT_GT(out.writes, 20U);
--- a/tests/lease/lease_client_test.cpp
+++ b/tests/lease/lease_client_test.cpp
@@ -55,7 +55,7 @@
  protected:
   void begin(std::vector<net::tcp::endpoint> members, double rate = 1, uint64_t seed = 1,
              Time ttl = 1'000'000) {
-    ShellSettings settings;
+    LeaseClientSettings settings;
     settings.holder.name = "task/x";
     settings.holder.holder = "p1";
     settings.holder.ttl = ttl;
@@ -63,13 +63,13 @@
     settings.holder.seed = seed;
     settings.members = std::move(members);
     settings.clock_rate = rate;
-    shell_ = std::make_unique<Shell>(
+    shell_ = std::make_unique<LeaseClient>(
         io_, settings,
-        Shell::Listener{[this](Token token, const std::string& record) {
-                          events_.push_back("begin " + std::to_string(token) + " " + record);
-                        },
-                        [this](const std::string& why) { events_.push_back("stop " + why); },
-                        [this] { events_.push_back("asked back"); }});
+        LeaseClient::Listener{[this](Token token, const std::string& record) {
+                                events_.push_back("begin " + std::to_string(token) + " " + record);
+                              },
+                              [this](const std::string& why) { events_.push_back("stop " + why); },
+                              [this] { events_.push_back("asked back"); }});
     shell_->start();
   }
   void until(const std::function<bool()>& ready) {
@@ -87,7 +87,7 @@
 
   boost::asio::io_context io_;
   std::vector<std::string> events_;
-  std::unique_ptr<Shell> shell_;
+  std::unique_ptr<LeaseClient> shell_;
 };
 
 TEST_F(ShellTest, AsksTheNextMemberAndFollowsToTheLeader) {
@@ -103,7 +103,7 @@
     events_.clear();
     begin({gone, behind.address(), follower.address()}, 1, seed);
     until_held();
-    EXPECT_TRUE(shell_->held()) << "seed " << seed;
+    EXPECT_TRUE(shell_->is_held()) << "seed " << seed;
     EXPECT_GE(leader.count("campaign"), 1U);
     shell_.reset();
   }
@@ -114,11 +114,11 @@
   Member only(io_);
   only.down = true;
   begin({only.address()});
-  until([this] { return !shell_->trouble().empty(); });
-  EXPECT_NE(shell_->trouble(), "");
+  until([this] { return !shell_->last_error().empty(); });
+  EXPECT_NE(shell_->last_error(), "");
   only.down = false;
   until_held();
-  EXPECT_EQ(shell_->trouble(), "");
+  EXPECT_EQ(shell_->last_error(), "");
 }
 
 TEST_F(ShellTest, IsNotHeldAnyLongerWhereTheLoopStoodStill) {
@@ -128,7 +128,7 @@
     const auto from = Clock::now();
     begin({member.address()}, rate);
     until_held();
-    while (shell_->held() && Clock::now() < from + std::chrono::seconds(5)) std::this_thread::yield();
+    while (shell_->is_held() && Clock::now() < from + std::chrono::seconds(5)) std::this_thread::yield();
     const auto out = Clock::now() - from;
     EXPECT_EQ(member.count("renew"), 0U);  // the loop did not run
     until([this] { return events_.size() > 1; });
@@ -149,9 +149,9 @@
   member.asked_back = true;
   until([&] { return member.count("renew") >= 3; });
   EXPECT_EQ(events_, (std::vector<std::string>{"begin 12 left", "asked back"}));
-  EXPECT_TRUE(shell_->held());
+  EXPECT_TRUE(shell_->is_held());
   member.asked_back = false;
-  shell_->give_back();
+  shell_->release();
   until([&] { return events_.size() >= 4; });
   EXPECT_EQ(events_[2], "stop released");
   EXPECT_EQ(events_[3], "begin 13 left");
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 std::vector<std::string> texts(const std::string& bytes, size_t piece) {
-  Texts reader;
+  JsonSplitter reader;
   std::vector<std::string> out;
   for (size_t at = 0; at < bytes.size(); at += piece) {
     reader.add(bytes.substr(at, piece));
@@ -28,7 +28,7 @@
 
 TEST(Texts, HandOutWhatBeginsNoneAndWhatBreaksOff) {
   EXPECT_EQ(texts("oops {}\n\n{\"a\n{}\n", 3), (std::vector<std::string>{"oops {}", "", "{\"a", "{}"}));
-  Texts reader;
+  JsonSplitter reader;
   reader.add("{\"a\":1,\n \n");
   EXPECT_FALSE(reader.next());
   EXPECT_TRUE(reader.within());
--- a/tests/policy/checked_policy.h
+++ b/tests/policy/checked_policy.h
@@ -14,11 +14,11 @@
 
 constexpr Time kSecond = 1'000'000;
 
-class Relay {
+class CheckedPolicy {
  public:
-  explicit Relay(const Settings& settings, uint64_t seed = 1)
+  explicit CheckedPolicy(const Settings& settings, uint64_t seed = 1)
       : settings_(settings), policy_(settings, seed), checker_(settings) {}
-  ~Relay() {
+  ~CheckedPolicy() {
     for (const std::string& fault : checker_.faults()) ADD_FAILURE() << fault;
   }
 
@@ -39,16 +39,16 @@
     return all;
   }
 
-  Arrival message(uint64_t id, Time now, int message_class = 0, int destination = 1) const {
-    Arrival out;
+  MessageArrived message(uint64_t id, Time now, int message_class = 0, int destination = 1) const {
+    MessageArrived out;
     out.id = id;
     out.message_class = message_class;
     out.destination = destination;
-    out.due = now + settings_.classes[message_class].give_up;
+    out.deadline = now + settings_.classes[message_class].max_lifetime;
     return out;
   }
 
-  size_t avoided(Time now) const { return policy_.avoided(now); }
+  size_t avoided(Time now) const { return policy_.ejected_endpoints(now); }
   size_t owed() const { return checker_.owed(); }
 
  private:
@@ -61,31 +61,32 @@
 inline Settings plain_settings() {
   Settings s;
   s.classes.resize(2);
-  s.classes[0].effect = Effect::kSafe;
-  s.classes[1].effect = Effect::kUnsafe;
+  s.classes[0].idempotency = Idempotency::kIdempotent;
+  s.classes[1].idempotency = Idempotency::kNonIdempotent;
   for (ClassSettings& c : s.classes) {
-    c.target = 2 * kSecond;
-    c.give_up = 20 * kSecond;
-    c.late_worth = 0.3;
+    c.latency_objective = 2 * kSecond;
+    c.max_lifetime = 20 * kSecond;
+    c.late_weight_share = 0.3;
   }
   s.kinds.resize(2);
-  s.kinds[1].apart = true;
-  s.slots = 8;
-  s.max_open = 200;
+  s.kinds[1].independent_endpoints = true;
+  s.max_concurrent_calls = 8;
+  s.max_pending_messages = 200;
   s.max_attempts = 6;
   s.tick = 5000;
   s.answer_slack = 20'000;
   s.drain_grace = kSecond;
-  s.cold = 10 * kSecond;
-  s.fall_window = 3 * kSecond;
-  s.fall_multiple = 2;
-  s.start_capacity = 0.25;
-  s.conn_idle = 10 * kSecond;
+  s.slow_start_duration = 10 * kSecond;
+  s.overload_window = 3 * kSecond;
+  s.overload_factor = 2;
+  s.initial_capacity_share = 0.25;
+  s.connection_idle_timeout = 10 * kSecond;
   return s;
 }
 
-inline Member member(uint32_t address, int destination = 1, int kind = 0, Listing listing = Listing::kReady) {
-  Member m;
+inline EndpointInfo member(uint32_t address, int destination = 1, int kind = 0,
+                           Listing listing = Listing::kReady) {
+  EndpointInfo m;
   m.endpoint = {address, 80};
   m.destination = destination;
   m.kind = kind;
@@ -93,15 +94,15 @@
   return m;
 }
 
-inline MembersChanged members(std::vector<Member> list,
-                              MembersChanged::Form form = MembersChanged::Form::kFull) {
-  MembersChanged out;
+inline EndpointListChanged members(std::vector<EndpointInfo> list,
+                                   EndpointListChanged::Form form = EndpointListChanged::Form::kFull) {
+  EndpointListChanged out;
   out.form = form;
-  out.members = std::make_shared<std::vector<Member>>(std::move(list));
+  out.endpoints = std::make_shared<std::vector<EndpointInfo>>(std::move(list));
   return out;
 }
 
-inline AttemptEnded ended(const Send& send, int attempt, Outcome outcome, Time took = 100'000,
+inline AttemptEnded ended(const SendAttempt& send, int attempt, Outcome outcome, Time took = 100'000,
                           Time wait = 0) {
   AttemptEnded out;
   out.id = send.id;
@@ -109,8 +110,8 @@
   out.endpoint = send.endpoint;
   out.outcome = outcome;
   out.final = outcome == Outcome::kOk;
-  out.took = took;
-  out.wait = wait;
+  out.latency = took;
+  out.retry_after = wait;
   return out;
 }
 
--- a/tests/policy/cold_budget_test.cpp
+++ b/tests/policy/cold_budget_test.cpp
@@ -46,13 +46,13 @@
     settings_ = plain_settings();
     settings_.classes.resize(1);
     settings_.kinds.resize(1);
-    settings_.kinds[0].batch = plan.batch;
-    settings_.relays = plan.relays;
-    settings_.slots = 20;
-    settings_.cold = 12 * kSecond;
-    settings_.fall_window = kWindow;
-    settings_.fall_multiple = kMultiple;
-    settings_.start_capacity = kStart;
+    settings_.kinds[0].max_batch_size = plan.batch;
+    settings_.relay_count = plan.relays;
+    settings_.max_concurrent_calls = 20;
+    settings_.slow_start_duration = 12 * kSecond;
+    settings_.overload_window = kWindow;
+    settings_.overload_factor = kMultiple;
+    settings_.initial_capacity_share = kStart;
     settings_.connect_timeout = kSecond;
     settings_.weights = plan.limit_told ? Weights::kNominal : Weights::kNone;
     capacity_ = kSpare * plan.rate;
@@ -78,7 +78,7 @@
   }
 
   Excess run() {
-    const Time end = back_ + settings_.cold;
+    const Time end = back_ + settings_.slow_start_duration;
     while (!queue_.empty() && queue_.begin()->first < end) {
       const auto [now, relay] = *queue_.begin();
       queue_.erase(queue_.begin());
@@ -93,7 +93,7 @@
   struct OneRelay {
     std::unique_ptr<Policy> policy;
     std::multimap<Time, Event> events;
-    std::map<int, DestinationMemory> memory;
+    std::map<int, DestinationState> memory;
     std::map<uint64_t, int> attempts;
     Time wake = 0;
     Time next = 0;  // message
@@ -106,8 +106,8 @@
     bool told;
   };
 
-  MembersChanged list(Listing listing) const {
-    Member m = member(1, 1, 0, listing);
+  EndpointListChanged list(Listing listing) const {
+    EndpointInfo m = member(1, 1, 0, listing);
     if (plan_.limit_told) m.weight = plan_.rate;
     return members({m});
   }
@@ -123,7 +123,7 @@
 
   Settings settings_of(int i) const {
     Settings out = settings_;
-    out.self = i;
+    out.relay_index = i;
     return out;
   }
 
@@ -152,10 +152,10 @@
       relay.events.erase(relay.events.begin());
     }
     if (relay.next <= now) {
-      Arrival in;
+      MessageArrived in;
       in.id = ++last_id_;
       in.destination = 1;
-      in.due = now + settings_.classes[0].give_up;
+      in.deadline = now + settings_.classes[0].max_lifetime;
       events.push_back(in);
       next_message(now, i);
     }
@@ -167,13 +167,13 @@
     for (const Event& event : events) learn(now, relay, event);
     int joined = 0;
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent(now, i, *send, told, joined++ % std::max(1, plan_.batch) == 0);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
         relay.wake = timer->at;
         queue_.emplace(timer->at, i);
-      } else if (const auto* remember = std::get_if<Remember>(&action)) {
-        relay.memory[remember->memory.destination] = remember->memory;
+      } else if (const auto* remember = std::get_if<PersistDestinationState>(&action)) {
+        relay.memory[remember->state.destination] = remember->state;
       }
     }
   }
@@ -182,14 +182,15 @@
   void learn(Time now, OneRelay& relay, const Event& event) {
     if (now >= back_ + kSecond / 10 || now < kOut) return;
     const auto* end = std::get_if<AttemptEnded>(&event);
-    if (end != nullptr && end->outcome != Outcome::kOk && end->outcome != Outcome::kMoot) relay.told = true;
+    if (end != nullptr && end->outcome != Outcome::kOk && end->outcome != Outcome::kNotStarted)
+      relay.told = true;
   }
 
   void arrived(Time at, double work, bool told) {
     if (at >= back_) calls_.push_back({at, work, told});
   }
 
-  void sent(Time now, int i, const Send& send, bool told, bool first) {
+  void sent(Time now, int i, const SendAttempt& send, bool told, bool first) {
     OneRelay& relay = relays_[i];
     arrived(now, first ? 1 : 0.1, told);
     AttemptEnded end = ended(send, relay.attempts[send.id]++, Outcome::kOk);
@@ -198,27 +199,27 @@
       switch (plan_.way) {
         case Way::kRefuses:
           end.outcome = Outcome::kConnectFailed;
-          end.took = 1000;
+          end.latency = 1000;
           break;
         case Way::kFails:
           end.outcome = Outcome::kError;
-          end.took = 30'000;
+          end.latency = 30'000;
           break;
         case Way::kShut:
-          end.outcome = Outcome::kFull;
-          end.took = 10'000;
+          end.outcome = Outcome::kRejected;
+          end.latency = 10'000;
           break;
         case Way::kHangs:
           end.outcome = Outcome::kTimeout;
-          end.took = send.timeout;
+          end.latency = send.timeout;
           break;
         case Way::kSilent:
           end.outcome = Outcome::kConnectFailed;
-          end.took = std::min(send.timeout, settings_.connect_timeout);
+          end.latency = std::min(send.timeout, settings_.connect_timeout);
           break;
       }
     }
-    post(now + end.took, i, end);
+    post(now + end.latency, i, end);
   }
 
   Excess judge() {
@@ -231,14 +232,16 @@
       window.push_back(call);
       work += call.work;
       told += call.told ? call.work : 0;
-      while (window.front().at <= call.at - settings_.fall_window) {
+      while (window.front().at <= call.at - settings_.overload_window) {
         work -= window.front().work;
         told -= window.front().told ? window.front().work : 0;
         window.pop_front();
       }
-      const double warm = static_cast<double>(call.at - back_) / static_cast<double>(settings_.cold);
-      const double share = settings_.start_capacity + (1 - settings_.start_capacity) * std::min(1.0, warm);
-      const double n = settings_.fall_multiple * capacity_ * share * seconds(settings_.fall_window);
+      const double warm =
+          static_cast<double>(call.at - back_) / static_cast<double>(settings_.slow_start_duration);
+      const double share =
+          settings_.initial_capacity_share + (1 - settings_.initial_capacity_share) * std::min(1.0, warm);
+      const double n = settings_.overload_factor * capacity_ * share * seconds(settings_.overload_window);
       if (told >= work * 2 / 3) worst = std::max(worst, (work - n) / (std::sqrt(n) + 1));
     }
     return worst;
@@ -304,18 +307,18 @@
 
 // A rare caller seldom has two calls out that are overdue at once: one that got no answer counts as one.
 TEST(LostAndOverdue, MakeAnOutage) {
-  Relay relay(plain_settings());
+  CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)})});
   Time at = 0;
-  std::vector<Send> call;
+  std::vector<SendAttempt> call;
   for (uint64_t id = 1; id <= 11; ++id) {
     if (id > 1) relay.step(at + 100'000, {ended(call.at(0), 0, Outcome::kOk)});
-    call = all_of<Send>(relay.step(at += kSecond, {relay.message(id, at)}));
+    call = all_of<SendAttempt>(relay.step(at += kSecond, {relay.message(id, at)}));
   }
   at += call.at(0).timeout;
   relay.step(at, {ended(call[0], 0, Outcome::kTimeout, call[0].timeout)});
   const auto again = relay.idle(at + 10'000, at + 5 * kSecond);
-  EXPECT_EQ(all_of<Send>(again).size(), 1u);
+  EXPECT_EQ(all_of<SendAttempt>(again).size(), 1u);
   ASSERT_EQ(all_of<Log>(again).size(), 1u);
   EXPECT_NE(all_of<Log>(again)[0].text.find("calls overdue"), std::string::npos);
 }
@@ -323,17 +326,18 @@
 // The answer to a call from before the failure says nothing of the time after it: what is held while nothing
 // is listed does not go at once when the destination is back.
 TEST(FailedAndUnlisted, AnOlderCallThatIsServedEndsNoRow) {
-  Relay relay(plain_settings());
-  const auto older = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
-  const auto newer = all_of<Send>(relay.step(50'000, {relay.message(2, 50'000)}));
+  CheckedPolicy relay(plain_settings());
+  const auto older = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
+  const auto newer = all_of<SendAttempt>(relay.step(50'000, {relay.message(2, 50'000)}));
   ASSERT_EQ(older.size() + newer.size(), 2u);
   relay.step(60'000, {ended(newer[0], 0, Outcome::kConnectFailed)});
   relay.step(100'000, {ended(older[0], 0, Outcome::kOk)});
-  std::vector<Event> events = {members({member(1, 1, 0, Listing::kDraining)}, MembersChanged::Form::kDelta)};
+  std::vector<Event> events = {
+      members({member(1, 1, 0, Listing::kDraining)}, EndpointListChanged::Form::kDelta)};
   for (uint64_t id = 3; id <= 8; ++id) events.push_back(relay.message(id, 110'000));
-  EXPECT_TRUE(all_of<Send>(relay.step(110'000, events)).empty());
+  EXPECT_TRUE(all_of<SendAttempt>(relay.step(110'000, events)).empty());
   relay.idle(120'000, 3 * kSecond);
-  EXPECT_LE(all_of<Send>(relay.step(4 * kSecond, {members({member(1)})})).size(), 1u);
+  EXPECT_LE(all_of<SendAttempt>(relay.step(4 * kSecond, {members({member(1)})})).size(), 1u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, ColdBudget,
--- a/tests/policy/early_test.cpp
+++ b/tests/policy/early_test.cpp
@@ -26,8 +26,8 @@
     for (Time now = 0; now < 60 * kSecond; now += 10'000) {
       if (now < 30 * kSecond && random_() % 50 == 0) add(now);
       const auto actions = relay_.step(now, std::exchange(events_, {}));
-      for (const Send& send : all_of<Send>(actions)) answer(send);
-      for (const Refuse& refuse : all_of<Refuse>(actions)) end(refuse.id, now);
+      for (const SendAttempt& send : all_of<SendAttempt>(actions)) answer(send);
+      for (const Reject& refuse : all_of<Reject>(actions)) end(refuse.id, now);
       for (const Fail& fail : all_of<Fail>(actions)) end(fail.id, now);
     }
     EXPECT_EQ(relay_.owed(), 0u);
@@ -36,23 +36,24 @@
 
  private:
   void add(Time now) {
-    Arrival in =
+    MessageArrived in =
         relay_.message(++last_, now, static_cast<int>(random_() % 2), 1 + static_cast<int>(random_() % 4));
-    if (random_() % 3 == 0) in.due -= life(in) / 2;  // as a restart finds it, untried
-    kept_[in.id] = {in.due};
+    if (random_() % 3 == 0) in.deadline -= life(in) / 2;  // as a restart finds it, untried
+    kept_[in.id] = {in.deadline};
     events_.push_back(in);
   }
 
   // Waits end long before the messages do.
-  void answer(const Send& send) {
+  void answer(const SendAttempt& send) {
     const bool busy = send.endpoint.address == 1;
     const Time wait = busy && random_() % 2 == 0 ? static_cast<Time>(random_() % 2000) * 1000 : 0;
     Kept& kept = kept_.at(send.id);
-    AttemptEnded end = ended(send, kept.sent++, busy ? Outcome::kFull : Outcome::kConnectFailed, 5'000, wait);
-    if (send.endpoint.address == 4) end.outcome = Outcome::kMoot;
+    AttemptEnded end =
+        ended(send, kept.sent++, busy ? Outcome::kRejected : Outcome::kConnectFailed, 5'000, wait);
+    if (send.endpoint.address == 4) end.outcome = Outcome::kNotStarted;
     // Of connections that fail some break when the call has begun.
-    end.began = busy || (end.outcome == Outcome::kConnectFailed && random_() % 4 == 0);
-    kept.attempts += end.began ? 1 : 0;
+    end.call_started = busy || (end.outcome == Outcome::kConnectFailed && random_() % 4 == 0);
+    kept.attempts += end.call_started ? 1 : 0;
     events_.push_back(end);
   }
 
@@ -60,14 +61,14 @@
     ++given_back_;
     const Kept& kept = kept_.at(id);
     if (kept.attempts == settings_.max_attempts) return;  // no try is left
-    EXPECT_GE(now, kept.due - settings_.classes[0].give_up * 3 / 10) << id;
+    EXPECT_GE(now, kept.due - settings_.classes[0].max_lifetime * 3 / 10) << id;
   }
 
-  Time life(const Arrival& in) const { return settings_.classes[in.message_class].give_up; }
+  Time life(const MessageArrived& in) const { return settings_.classes[in.message_class].max_lifetime; }
 
   std::mt19937_64 random_;
   Settings settings_ = plain_settings();
-  Relay relay_;
+  CheckedPolicy relay_;
   std::vector<Event> events_;
   std::map<uint64_t, Kept> kept_;
   uint64_t last_ = 0;
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -13,22 +13,22 @@
   Settings s = plain_settings();
   s.classes.resize(4);
   s.classes[2] = s.classes[0];
-  s.classes[2].effect = Effect::kKeyed;
-  s.classes[2].key_window = 4 * kSecond;
-  s.classes[2].key_scope = seed % 2 == 0 ? KeyScope::kZone : KeyScope::kAll;
+  s.classes[2].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[2].deduplication_window = 4 * kSecond;
+  s.classes[2].deduplication_scope = seed % 2 == 0 ? DeduplicationScope::kZone : DeduplicationScope::kAll;
   s.classes[3] = s.classes[2];
   s.classes[3].in_order = true;
-  s.classes[1].give_up = 6 * kSecond;
-  s.order_pause = seed % 3 == 0 ? kSecond : 0;
-  s.kinds[0].batch = seed % 4 == 1 ? 3 : 1;
-  s.may_cancel = seed % 2 == 1;
-  s.may_probe = seed % 2 == 0;
-  s.ask_for_list = seed % 3 == 1;
-  s.ask_every = 10 * kSecond;
-  s.max_open = 60;
+  s.classes[1].max_lifetime = 6 * kSecond;
+  s.ordering_pause = seed % 3 == 0 ? kSecond : 0;
+  s.kinds[0].max_batch_size = seed % 4 == 1 ? 3 : 1;
+  s.cancellation_allowed = seed % 2 == 1;
+  s.health_checks_allowed = seed % 2 == 0;
+  s.list_needs_watch = seed % 3 == 1;
+  s.list_poll_interval = 10 * kSecond;
+  s.max_pending_messages = 60;
   s.weights = seed % 5 == 0 ? Weights::kNominal : Weights::kNone;
-  s.late_by_halves = seed % 2 == 1;
-  s.price_handshake = s.price_cross_zone = 0.03;
+  s.late_weight_halves = seed % 2 == 1;
+  s.cost_handshake = s.cost_cross_zone = 0.03;
   return s;
 }
 
@@ -36,7 +36,7 @@
  public:
   explicit World(uint64_t seed) : random_(seed), settings_(random_settings(seed)), relay_(settings_, seed) {
     for (uint32_t address = 1; address <= 9; ++address) {
-      Member m = member(address, static_cast<int>(address % 3), static_cast<int>(address % 3 == 0));
+      EndpointInfo m = member(address, static_cast<int>(address % 3), static_cast<int>(address % 3 == 0));
       m.zone = static_cast<int>(address % 2);
       m.weight = 5;
       members_.push_back(m);
@@ -57,7 +57,7 @@
 
  private:
   struct Out {
-    Send send;
+    SendAttempt send;
     int attempt = 0;
     Time at = 0;
     Time sent = 0;
@@ -69,9 +69,9 @@
 
   void add_arrivals(std::vector<Event>& events) {
     while (relay_.owed() + events.size() < 50 && chance(0.1)) {
-      Arrival a =
+      MessageArrived a =
           relay_.message(++last_id_, now_, static_cast<int>(random_() % 4), static_cast<int>(random_() % 3));
-      if (a.message_class == 3) a.key = 1 + random_() % 4;
+      if (a.message_class == 3) a.ordering_key = 1 + random_() % 4;
       events.push_back(a);
     }
   }
@@ -83,7 +83,7 @@
         later.push_back(out);
         continue;
       }
-      const Time wait = out.outcome == Outcome::kFull && chance(0.5) ? up_to(2 * kSecond) : 0;
+      const Time wait = out.outcome == Outcome::kRejected && chance(0.5) ? up_to(2 * kSecond) : 0;
       events.push_back(ended(out.send, out.attempt, out.outcome, now_ - out.sent, wait));
     }
     out_ = std::move(later);
@@ -92,28 +92,29 @@
   void add_rest(std::vector<Event>& events) {
     if (chance(0.002)) bad_ = static_cast<int>(random_() % 4);  // the destination that does badly; 3: none
     if (chance(0.002)) {
-      Member& m = members_[random_() % members_.size()];
+      EndpointInfo& m = members_[random_() % members_.size()];
       m.listing = m.listing == Listing::kReady ? Listing::kDraining : Listing::kReady;
-      events.push_back(members({m}, MembersChanged::Form::kDelta));
+      events.push_back(members({m}, EndpointListChanged::Form::kDelta));
     }
-    if (settings_.ask_for_list && chance(0.001)) {
-      MembersChanged failed;
-      failed.form = MembersChanged::Form::kFailed;
+    if (settings_.list_needs_watch && chance(0.001)) {
+      EndpointListChanged failed;
+      failed.form = EndpointListChanged::Form::kFailed;
       events.push_back(failed);
     }
-    if (last_id_ > 0 && chance(0.005)) events.push_back(Withdrawn{1 + random_() % last_id_});
-    for (const Probe& probe : probes_) events.push_back(ProbeEnded{probe.endpoint, chance(0.5), 1000, {}});
+    if (last_id_ > 0 && chance(0.005)) events.push_back(MessageWithdrawn{1 + random_() % last_id_});
+    for (const SendHealthCheck& probe : probes_)
+      events.push_back(HealthCheckEnded{probe.endpoint, chance(0.5), 1000, {}});
     probes_.clear();
   }
 
   void take(const std::vector<Action>& actions) {
     wake_ = std::numeric_limits<Time>::max();
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
         Out out = {*send, attempts_[send->id]++, 0, now_, Outcome::kOk};
         const int destination = static_cast<int>(send->endpoint.address % 3);
         if (chance(destination == bad_ ? 0.9 : 0.05)) {
-          constexpr Outcome kBad[] = {Outcome::kError, Outcome::kFull, Outcome::kTimeout,
+          constexpr Outcome kBad[] = {Outcome::kError, Outcome::kRejected, Outcome::kTimeout,
                                       Outcome::kConnectFailed, Outcome::kReset};
           out.outcome = kBad[random_() % std::size(kBad)];
         }
@@ -121,7 +122,7 @@
         out.at = now_ +
                  (out.outcome == Outcome::kTimeout ? send->timeout : std::min(send->timeout, up_to(400'000)));
         out_.push_back(out);
-      } else if (const auto* probe = std::get_if<Probe>(&action)) {
+      } else if (const auto* probe = std::get_if<SendHealthCheck>(&action)) {
         probes_.push_back(*probe);
       } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
         for (Out& out : out_) {
@@ -139,10 +140,10 @@
 
   std::mt19937_64 random_;  // its numbers are the same everywhere; distributions are not, so none is used
   Settings settings_;
-  Relay relay_;
-  std::vector<Member> members_;
+  CheckedPolicy relay_;
+  std::vector<EndpointInfo> members_;
   std::vector<Out> out_;
-  std::vector<Probe> probes_;
+  std::vector<SendHealthCheck> probes_;
   std::vector<Time> timers_;
   std::map<uint64_t, int> attempts_;
   Time now_ = 0;
@@ -161,20 +162,20 @@
 TEST(RulesChecker, SeesBrokenRules) {
   const Settings s = plain_settings();
   RulesChecker checker(s);
-  Arrival arrival;
+  MessageArrived arrival;
   arrival.id = 1;
   arrival.message_class = 1;
   arrival.destination = 1;
-  arrival.due = 5 * kSecond;
+  arrival.deadline = 5 * kSecond;
   const std::vector<Event> start = {members({member(1)}), arrival};
   checker.before(0, start);
-  const std::vector<Action> twice = {Send{1, {1, 80}, 0}, Send{1, {1, 80}, 0}};
+  const std::vector<Action> twice = {SendAttempt{1, {1, 80}, 0}, SendAttempt{1, {1, 80}, 0}};
   checker.after(0, twice);
   ASSERT_EQ(checker.faults().size(), 1u);
   EXPECT_NE(checker.faults()[0].find("two attempts at once"), std::string::npos);
-  const std::vector<Event> timeouts = {ended(Send{1, {1, 80}, 0}, 0, Outcome::kTimeout)};
+  const std::vector<Event> timeouts = {ended(SendAttempt{1, {1, 80}, 0}, 0, Outcome::kTimeout)};
   checker.before(kSecond, timeouts);
-  const std::vector<Action> refuse = {Refuse{1, 0}};
+  const std::vector<Action> refuse = {Reject{1, 0}};
   checker.after(kSecond, refuse);
   EXPECT_EQ(checker.faults().size(), 2u);
 }
@@ -183,14 +184,14 @@
   for (int run = 0; run < 2; ++run) {
     static std::vector<size_t> first;
     std::vector<size_t> sizes;
-    Relay relay(plain_settings(), 5);
+    CheckedPolicy relay(plain_settings(), 5);
     relay.step(0, {members({member(1)})});
     for (uint64_t id = 1; id < 50; ++id) {
       const Time now = static_cast<Time>(id) * 40'000;
-      const auto sends = all_of<Send>(relay.step(now, {relay.message(id, now)}));
+      const auto sends = all_of<SendAttempt>(relay.step(now, {relay.message(id, now)}));
       std::vector<Event> events;
-      for (const Send& send : sends) {
-        if (send.id == id) events.push_back(ended(send, 0, id % 3 ? Outcome::kOk : Outcome::kFull));
+      for (const SendAttempt& send : sends) {
+        if (send.id == id) events.push_back(ended(send, 0, id % 3 ? Outcome::kOk : Outcome::kRejected));
       }
       sizes.push_back(relay.step(now + 20'000, events).size());
     }
--- a/tests/policy/rules_checker.cpp
+++ b/tests/policy/rules_checker.cpp
@@ -8,18 +8,19 @@
   faults_.push_back("message " + std::to_string(id) + ": " + what);
 }
 
-std::pair<int, Endpoint> RulesChecker::limit_group(const Member& member) const {
-  const bool apart = member.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[member.kind].apart;
+std::pair<int, Endpoint> RulesChecker::limit_group(const EndpointInfo& member) const {
+  const bool apart =
+      member.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[member.kind].independent_endpoints;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
 }
 
 void RulesChecker::before(Time now, std::span<const Event> events) {
   for (const Event& event : events) {
-    if (const auto* list = std::get_if<MembersChanged>(&event); list && list->members) {
-      if (list->form == MembersChanged::Form::kFull) {
+    if (const auto* list = std::get_if<EndpointListChanged>(&event); list && list->endpoints) {
+      if (list->form == EndpointListChanged::Form::kFull) {
         for (const auto& [endpoint, member] : members_) drained_at_.try_emplace(endpoint, now);
       }
-      for (const Member& member : *list->members) {
+      for (const EndpointInfo& member : *list->endpoints) {
         members_[member.endpoint] = member;
         if (member.listing == Listing::kReady) {
           drained_at_.erase(member.endpoint);
@@ -27,7 +28,7 @@
           drained_at_.try_emplace(member.endpoint, now);
         }
       }
-    } else if (const auto* arrival = std::get_if<Arrival>(&event)) {
+    } else if (const auto* arrival = std::get_if<MessageArrived>(&event)) {
       Held& held = held_[arrival->id];
       held.in = *arrival;
       held.order = ++arrivals_;
@@ -36,20 +37,20 @@
       if (it == held_.end() || ended->attempt >= static_cast<int>(it->second.sent.size())) continue;
       Sent& sent = it->second.sent[ended->attempt];
       sent.out = false;
-      if (!ended->began) ++it->second.unbegun;
+      if (!ended->call_started) ++it->second.unbegun;
       if (--calls_[sent.call] == 0) calls_.erase(sent.call);
       const Outcome o = ended->outcome;
-      sent.ran = o != Outcome::kFull && o != Outcome::kConnectFailed && o != Outcome::kMoot;
+      sent.ran = o != Outcome::kRejected && o != Outcome::kConnectFailed && o != Outcome::kNotStarted;
       if (ended->final) it->second.ended = true;
-      if (o == Outcome::kFull && ended->wait > 0) {
+      if (o == Outcome::kRejected && ended->retry_after > 0) {
         Time& wait = waits_[limit_group(members_[sent.endpoint])];
-        wait = std::max(wait, now + ended->wait);
+        wait = std::max(wait, now + ended->retry_after);
       }
       if (o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled ||
-          o == Outcome::kSpoilt) {
-        rests_[it->second.in.key] = {now + set_.order_pause, ended->id};
+          o == Outcome::kMalformedResponse) {
+        rests_[it->second.in.ordering_key] = {now + set_.ordering_pause, ended->id};
       }
-    } else if (const auto* gone = std::get_if<Withdrawn>(&event)) {
+    } else if (const auto* gone = std::get_if<MessageWithdrawn>(&event)) {
       const auto it = held_.find(gone->id);
       if (it != held_.end()) it->second.ended = true;
     }
@@ -59,21 +60,22 @@
 void RulesChecker::after(Time now, std::span<const Action> actions) {
   round_.clear();
   for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) check_send(now, *send);
-    if (const auto* refuse = std::get_if<Refuse>(&action)) check_refuse(refuse->id);
+    if (const auto* send = std::get_if<SendAttempt>(&action)) check_send(now, *send);
+    if (const auto* refuse = std::get_if<Reject>(&action)) check_refuse(refuse->id);
     if (const auto* fail = std::get_if<Fail>(&action)) {
       Held& held = held_[fail->id];
       if (held.ended) fault(fail->id, "answered twice");
       held.ended = true;
     }
-    if (std::holds_alternative<Probe>(action) && !set_.may_probe) fault(0, "probe where none is allowed");
+    if (std::holds_alternative<SendHealthCheck>(action) && !set_.health_checks_allowed)
+      fault(0, "probe where none is allowed");
   }
   for (const auto& [id, held] : held_) {
-    if (!held.ended && now > held.in.due + set_.answer_slack) fault(id, "lost");
+    if (!held.ended && now > held.in.deadline + set_.answer_slack) fault(id, "lost");
   }
 }
 
-void RulesChecker::check_send(Time now, const Send& send) {
+void RulesChecker::check_send(Time now, const SendAttempt& send) {
   const auto it = held_.find(send.id);
   if (it == held_.end()) return fault(send.id, "sent but never taken");
   Held& held = it->second;
@@ -85,11 +87,12 @@
   for (const Sent& earlier : held.sent) {
     if (earlier.out) fault(send.id, "two attempts at once");
     if (!earlier.ran) continue;
-    if (c.effect == Effect::kUnsafe) fault(send.id, "unsafe message repeated");
-    if (c.effect != Effect::kKeyed) continue;
-    if (now > earlier.at + c.key_window) fault(send.id, "repeated after its window");
-    const Member& first = members_[earlier.endpoint];
-    if (c.key_scope == KeyScope::kZone && first.zone != member->second.zone) fault(send.id, "left its group");
+    if (c.idempotency == Idempotency::kNonIdempotent) fault(send.id, "unsafe message repeated");
+    if (c.idempotency != Idempotency::kIdempotentWithKey) continue;
+    if (now > earlier.at + c.deduplication_window) fault(send.id, "repeated after its window");
+    const EndpointInfo& first = members_[earlier.endpoint];
+    if (c.deduplication_scope == DeduplicationScope::kZone && first.zone != member->second.zone)
+      fault(send.id, "left its group");
   }
   if (static_cast<int>(held.sent.size()) - held.unbegun >= set_.max_attempts)
     fault(send.id, "too many attempts");
@@ -98,15 +101,15 @@
     fault(send.id, "drain broken");
   const auto wait = waits_.find(limit_group(member->second));
   if (wait != waits_.end() && now < wait->second) fault(send.id, "sent inside a told wait");
-  if (c.in_order && held.in.key != 0) check_order(now, send.id, held);
+  if (c.in_order && held.in.ordering_key != 0) check_order(now, send.id, held);
   held.sent.push_back({send.endpoint, now, join_call(member->second)});
-  if (static_cast<int>(calls_.size()) > set_.slots) fault(send.id, "no slot was free");
+  if (static_cast<int>(calls_.size()) > set_.max_concurrent_calls) fault(send.id, "no slot was free");
 }
 
 // Sends of one round to one endpoint share a call, as far as its kind allows.
-uint64_t RulesChecker::join_call(const Member& member) {
+uint64_t RulesChecker::join_call(const EndpointInfo& member) {
   const auto open = round_.find(member.endpoint);
-  if (open == round_.end() || calls_[open->second] >= set_.kinds[member.kind].batch) {
+  if (open == round_.end() || calls_[open->second] >= set_.kinds[member.kind].max_batch_size) {
     round_[member.endpoint] = ++last_call_;
   }
   ++calls_[round_[member.endpoint]];
@@ -115,12 +118,13 @@
 
 void RulesChecker::check_order(Time now, uint64_t id, const Held& held) {
   for (const auto& [other_id, other] : held_) {
-    const bool same = set_.classes[other.in.message_class].in_order && other.in.key == held.in.key;
+    const bool same =
+        set_.classes[other.in.message_class].in_order && other.in.ordering_key == held.in.ordering_key;
     if (!same || other.order >= held.order) continue;
     const bool out = std::any_of(other.sent.begin(), other.sent.end(), [](const Sent& s) { return s.out; });
     if (!other.ended || out) fault(id, "out of turn");
   }
-  const auto rest = rests_.find(held.in.key);
+  const auto rest = rests_.find(held.in.ordering_key);
   if (rest != rests_.end() && rest->second.second != id && now < rest->second.first) {
     fault(id, "key had no rest");
   }
@@ -136,7 +140,8 @@
   for (const Sent& sent : held.sent) {
     if (!sent.out && !sent.ran) continue;
     const bool harmless =
-        c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll);
+        c.idempotency == Idempotency::kIdempotent || (c.idempotency == Idempotency::kIdempotentWithKey &&
+                                                      c.deduplication_scope == DeduplicationScope::kAll);
     if (harmless) continue;
     fault(id, "refused though it may have run");
     return;
--- a/tests/policy/rules_checker.h
+++ b/tests/policy/rules_checker.h
@@ -32,7 +32,7 @@
     bool ran = false;
   };
   struct Held {
-    Arrival in;
+    MessageArrived in;
     std::vector<Sent> sent;
     int unbegun = 0;  // attempts of which no byte was written
     bool ended = false;
@@ -40,15 +40,15 @@
   };
 
   void fault(uint64_t id, const std::string& what);
-  void check_send(Time now, const Send& send);
-  uint64_t join_call(const Member& member);
+  void check_send(Time now, const SendAttempt& send);
+  uint64_t join_call(const EndpointInfo& member);
   void check_order(Time now, uint64_t id, const Held& held);
   void check_refuse(uint64_t id);
-  std::pair<int, Endpoint> limit_group(const Member& member) const;
+  std::pair<int, Endpoint> limit_group(const EndpointInfo& member) const;
 
   Settings set_;
   std::map<uint64_t, Held> held_;
-  std::map<Endpoint, Member> members_;
+  std::map<Endpoint, EndpointInfo> members_;
   std::map<Endpoint, Time> drained_at_;
   std::map<std::pair<int, Endpoint>, Time> waits_;
   std::map<uint64_t, std::pair<Time, uint64_t>> rests_;
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -59,23 +59,23 @@
 TEST(Settings, ReadsWhatIsTold) {
   const Settings s = parse_settings(kFacts);
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].key_scope, KeyScope::kZone);
-  EXPECT_EQ(s.classes[0].key_window, 15'000'000);
-  EXPECT_EQ(s.classes[1].effect, Effect::kUnsafe);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotentWithKey);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(s.classes[0].deduplication_window, 15'000'000);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kNonIdempotent);
   EXPECT_TRUE(s.classes[1].in_order);
   ASSERT_EQ(s.kinds.size(), 2u);
-  EXPECT_TRUE(s.kinds[0].apart);
-  EXPECT_EQ(s.kinds[1].batch, 5);
-  EXPECT_EQ(s.slots, 10);
-  EXPECT_EQ(s.max_open, 359);
-  EXPECT_TRUE(s.late_by_halves);
-  EXPECT_TRUE(s.ask_for_list);
+  EXPECT_TRUE(s.kinds[0].independent_endpoints);
+  EXPECT_EQ(s.kinds[1].max_batch_size, 5);
+  EXPECT_EQ(s.max_concurrent_calls, 10);
+  EXPECT_EQ(s.max_pending_messages, 359);
+  EXPECT_TRUE(s.late_weight_halves);
+  EXPECT_TRUE(s.list_needs_watch);
   EXPECT_EQ(s.weights, Weights::kNominal);
-  EXPECT_EQ(s.report_left, 0);
-  EXPECT_EQ(s.report_limit, 1);
-  EXPECT_EQ(s.cold, 12'000'000);
-  EXPECT_DOUBLE_EQ(s.start_capacity, 0.21);
+  EXPECT_EQ(s.report_limit_remaining_index, 0);
+  EXPECT_EQ(s.report_limit_index, 1);
+  EXPECT_EQ(s.slow_start_duration, 12'000'000);
+  EXPECT_DOUBLE_EQ(s.initial_capacity_share, 0.21);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 7.5);
 }
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -14,7 +14,7 @@
   return out;
 }
 
-Command write(std::vector<Item> items, const std::string& request = "", Millis now = 0) {
+Command write(std::vector<Mutation> items, const std::string& request = "", Millis now = 0) {
   return {Command::Kind::kWrite, now, request, std::move(items), "", 0};
 }
 Command enroll(const std::string& id, Millis ttl_ms, Millis now) {
@@ -28,8 +28,8 @@
 TEST(State, WritesManyInOneRevisionOrNone) {
   State s;
   EXPECT_EQ(s.apply(5, write({{"a", entry("a"), {}}, {"b", entry("b"), {}}})).revision, 5U);
-  const Answer refused = s.apply(6, write({{"c", entry("c"), 0}, {"a", {}, 4}}));
-  EXPECT_EQ(refused, (Answer{Answer::Kind::kConflict, 5, "a"}));
+  const ApplyResult refused = s.apply(6, write({{"c", entry("c"), 0}, {"a", {}, 4}}));
+  EXPECT_EQ(refused, (ApplyResult{ApplyResult::Kind::kConflict, 5, "a"}));
   EXPECT_FALSE(s.entries().contains("c"));
   EXPECT_EQ(s.revision(), 5U);
   EXPECT_EQ(s.apply(7, write({{"c", entry("c"), 0}, {"a", {}, 5}})).revision, 7U);
@@ -38,7 +38,7 @@
 
 TEST(State, AnswersARequestThatComesAgainAsTheFirstTime) {
   State s;
-  const Answer first = s.apply(1, write({{"a", entry("a"), 0}}, "r1"));
+  const ApplyResult first = s.apply(1, write({{"a", entry("a"), 0}}, "r1"));
   s.apply(2, write({{"a", {}, {}}}, "r2"));
   EXPECT_EQ(s.apply(3, write({{"a", entry("a"), 0}}, "r1")), first);
   EXPECT_FALSE(s.entries().contains("a"));
@@ -59,7 +59,7 @@
   const auto news = s.since(1);
   ASSERT_TRUE(news);
   ASSERT_EQ(news->size(), 1U);
-  EXPECT_EQ(news->front().entry->cell, 4);
+  EXPECT_EQ(news->front().entry->group, 4);
   s.apply(5, write({{"b", entry("b"), {}}, {"c", entry("c"), {}}}));
   EXPECT_EQ(s.compacted(), 2U);
   EXPECT_FALSE(s.since(1));
@@ -72,26 +72,26 @@
   s.apply(1, enroll("a", 1000, 0));
   s.apply(2, renew("a", 900));
   s.apply(3, tick(1500));
-  EXPECT_EQ(s.entries().at("a").phase, "active");
+  EXPECT_EQ(s.entries().at("a").state, "active");
   s.apply(4, tick(1900));
-  EXPECT_EQ(s.entries().at("a").phase, "leaving");
+  EXPECT_EQ(s.entries().at("a").state, "leaving");
   s.apply(5, renew("a", 2000));
-  EXPECT_EQ(s.entries().at("a").phase, "active");
+  EXPECT_EQ(s.entries().at("a").state, "active");
   s.apply(6, tick(3000));
   s.apply(7, tick(13'000));
   EXPECT_FALSE(s.entries().contains("a"));
-  EXPECT_EQ(s.apply(8, renew("a", 13'001)).kind, Answer::Kind::kUnknown);
+  EXPECT_EQ(s.apply(8, renew("a", 13'001)).kind, ApplyResult::Kind::kUnknown);
 }
 
 TEST(State, KeepsADrainThatAnotherSaidWhileTheEndpointRenews) {
   State s;
   s.apply(1, enroll("a", 1000, 0));
   Entry drained = entry("a", 1, 1000);
-  drained.phase = "leaving";
+  drained.state = "leaving";
   s.apply(2, write({{"a", drained, {}}}));
   s.apply(3, renew("a", 900));
   s.apply(4, enroll("a", 1000, 1000));
-  EXPECT_EQ(s.entries().at("a").phase, "leaving");
+  EXPECT_EQ(s.entries().at("a").state, "leaving");
   s.apply(5, tick(1900));
   EXPECT_EQ(s.entries().size(), 1U);
   s.apply(6, tick(2000));
@@ -105,13 +105,13 @@
   for (int i = 0; i < 20; ++i) s.apply(++index, enroll("e" + std::to_string(i), 1000, 0));
   const Revision before = s.revision();
   s.apply(++index, tick(60'000));
-  EXPECT_TRUE(s.held());
+  EXPECT_TRUE(s.expiry_paused());
   EXPECT_EQ(s.revision(), before);
   for (int i = 3; i < 20; ++i) s.apply(++index, renew("e" + std::to_string(i), 60'100));
   s.apply(++index, tick(60'200));
-  EXPECT_FALSE(s.held());
-  EXPECT_EQ(s.entries().at("e0").phase, "leaving");
-  EXPECT_EQ(s.entries().at("e5").phase, "active");
+  EXPECT_FALSE(s.expiry_paused());
+  EXPECT_EQ(s.entries().at("e0").state, "leaving");
+  EXPECT_EQ(s.entries().at("e5").state, "active");
 }
 
 TEST(State, NeverGoesBackInTime) {
@@ -119,15 +119,15 @@
   s.apply(1, enroll("a", 1000, 5000));
   s.apply(2, renew("a", 100));  // a new leader whose clock is behind
   s.apply(3, tick(5500));
-  EXPECT_EQ(s.entries().at("a").phase, "active");
+  EXPECT_EQ(s.entries().at("a").state, "active");
 }
 
 TEST(State, HasAnotherNameOnceRestoredAndRevisionsThatNeverGoBack) {
   State s;
-  s.apply(1, {Command::Kind::kFound, 0, "", {}, "list-1", 1000});
+  s.apply(1, {Command::Kind::kBootstrap, 0, "", {}, "list-1", 1000});
   s.apply(2, write({{"a", entry("a"), {}}}));
   EXPECT_EQ(s.revision(), 1002U);
-  s.apply(3, {Command::Kind::kFound, 0, "", {}, "list-x", 5000});  // there is one
+  s.apply(3, {Command::Kind::kBootstrap, 0, "", {}, "list-x", 5000});  // there is one
   EXPECT_EQ(s.identity(), "list-1");
   s.apply(4, {Command::Kind::kRestore, 0, "", {{"b", entry("b", 1, 500), {}}}, "list-2", 900});
   EXPECT_EQ(s.identity(), "list-2");
@@ -136,7 +136,7 @@
   EXPECT_TRUE(s.since(1004));
   EXPECT_FALSE(s.entries().contains("a"));
   s.apply(5, tick(501));
-  EXPECT_EQ(s.entries().at("b").phase, "leaving");
+  EXPECT_EQ(s.entries().at("b").state, "leaving");
 }
 
 TEST(State, KnowsItsMembersAddresses) {
@@ -147,8 +147,8 @@
   EXPECT_TRUE(s.members().empty());
 }
 
-Command found(Millis now = 0) { return {Command::Kind::kFound, now, "", {}, "list-1", 1000}; }
-Command lease(LeaseCall::Kind kind, const std::string& holder, Millis now, Token token = 0) {
+Command found(Millis now = 0) { return {Command::Kind::kBootstrap, now, "", {}, "list-1", 1000}; }
+Command lease(LeaseCommand::Kind kind, const std::string& holder, Millis now, Token token = 0) {
   return {Command::Kind::kLease, now, "", {}, "", 0, {kind, "l", holder, 5000, token, "", ""}};
 }
 Command under(Command command, Token token) {
@@ -156,13 +156,13 @@
   command.fence_token = token;
   return command;
 }
-constexpr auto kCampaign = LeaseCall::Kind::kCampaign;
+constexpr auto kCampaign = LeaseCommand::Kind::kCampaign;
 
 TEST(State, GrantsLeasesOnceItsTableIsOldEnough) {
   State s;
-  EXPECT_EQ(s.apply(1, lease(kCampaign, "a", 0)).lease->kind, LeaseAnswer::Kind::kRefused);
+  EXPECT_EQ(s.apply(1, lease(kCampaign, "a", 0)).lease->kind, LeaseResult::Kind::kRefused);
   s.apply(2, found(0));
-  EXPECT_EQ(s.apply(3, lease(kCampaign, "a", 29'999)).lease->wait_ms, 1);
+  EXPECT_EQ(s.apply(3, lease(kCampaign, "a", 29'999)).lease->retry_after_ms, 1);
   EXPECT_EQ(s.apply(4, lease(kCampaign, "a", 30'000)).lease->token, 1004U);
   s.apply(5, lease(kCampaign, "b", 33'000));
   s.apply(6, tick(35'000));
@@ -174,27 +174,28 @@
   s.apply(1, found(0));
   const Token first = s.apply(2, lease(kCampaign, "a", 30'000)).lease->token;
   s.apply(3, lease(kCampaign, "b", 30'001));
-  EXPECT_EQ(s.apply(4, under(write({{"a", entry("a"), {}}}, "r1", 34'999), first)).kind, Answer::Kind::kDone);
-  const Answer fenced = s.apply(5, under(write({{"a", {}, {}}}, "r2", 35'000), first));  // no tick since
-  EXPECT_EQ(fenced, (Answer{Answer::Kind::kFenced, 1005, "l"}));
+  EXPECT_EQ(s.apply(4, under(write({{"a", entry("a"), {}}}, "r1", 34'999), first)).kind,
+            ApplyResult::Kind::kApplied);
+  const ApplyResult fenced = s.apply(5, under(write({{"a", {}, {}}}, "r2", 35'000), first));  // no tick since
+  EXPECT_EQ(fenced, (ApplyResult{ApplyResult::Kind::kFenced, 1005, "l"}));
   EXPECT_TRUE(s.entries().contains("a"));
   // What was done stays done; what was refused may come under another grant.
-  EXPECT_EQ(s.apply(6, under(write({{"a", entry("a"), {}}}, "r1"), first)).kind, Answer::Kind::kDone);
-  EXPECT_EQ(s.apply(7, under(write({{"a", {}, {}}}, "r2"), 1005)).kind, Answer::Kind::kDone);
+  EXPECT_EQ(s.apply(6, under(write({{"a", entry("a"), {}}}, "r1"), first)).kind, ApplyResult::Kind::kApplied);
+  EXPECT_EQ(s.apply(7, under(write({{"a", {}, {}}}, "r2"), 1005)).kind, ApplyResult::Kind::kApplied);
   EXPECT_FALSE(s.entries().contains("a"));
   for (Command command : {enroll("x", 1000, 0), found(), Command{Command::Kind::kRestore, 0, "", {}, "n", 9}})
-    EXPECT_EQ(s.apply(8, under(command, first)).kind, Answer::Kind::kFenced);
+    EXPECT_EQ(s.apply(8, under(command, first)).kind, ApplyResult::Kind::kFenced);
 }
 
 TEST(State, KeepsItsLeasesOverARestoreAndANewLeader) {
   State s;
   s.apply(1, found(0));
-  s.apply(2, {Command::Kind::kLead, 0, "", {}, "", 6000});
+  s.apply(2, {Command::Kind::kLeaderElected, 0, "", {}, "", 6000});
   EXPECT_EQ(s.leases().limits().most_ttl_ms, 6000);
   const Token token = s.apply(3, lease(kCampaign, "a", 30'000)).lease->token;
   s.apply(4, {Command::Kind::kRestore, 31'000, "", {}, "list-2", 5000});
   EXPECT_TRUE(s.leases().holds("l", token));
-  s.apply(5, {Command::Kind::kLead, 34'000, "", {}, "", 0});
+  s.apply(5, {Command::Kind::kLeaderElected, 34'000, "", {}, "", 0});
   s.apply(6, tick(38'999));
   EXPECT_TRUE(State::restore(s.snapshot()).leases().holds("l", token));
   s.apply(7, tick(39'000));
@@ -210,7 +211,7 @@
   };
   const auto old = nlohmann::json::array({"a", "127.0.0.1:80", "a", "std", 1, "active", 1.5, 0, 0, 7});
   const Command command = decode(bytes({0, 5, "r", {{"a", old, nullptr}}, "", 0}) + std::string(3, '\0'));
-  EXPECT_EQ(command.items.at(0).entry->revision, 7U);
+  EXPECT_EQ(command.mutations.at(0).entry->revision, 7U);
   EXPECT_EQ(command.fence, "");
   const auto none = nlohmann::json::array();
   const auto limits = nlohmann::json::array({10, 10, 1000, 1000, 0.3, 2});
@@ -230,23 +231,24 @@
                                         none,
                                         none}));
   EXPECT_EQ(s.revision(), 1007U);
-  EXPECT_EQ(s.entries().at("a").cell, 1);
+  EXPECT_EQ(s.entries().at("a").group, 1);
   EXPECT_TRUE(s.leases().all().empty());
   EXPECT_EQ(State::restore(s.snapshot()).hash(), s.hash());
 }
 
-Command mirror(std::vector<Item> items, bool whole = false, Millis now = 0, const std::string& source = "d") {
+Command mirror(std::vector<Mutation> items, bool whole = false, Millis now = 0,
+               const std::string& source = "d") {
   Command out{Command::Kind::kMirror, now, "", std::move(items), source, 9};
   out.whole = whole;
   return out;
 }
 Entry leaving(const std::string& id) {
   Entry out = entry(id);
-  out.phase = "leaving";
+  out.state = "leaving";
   return out;
 }
 std::string phase(const State& s, const std::string& id) {
-  return s.entries().contains(id) ? s.entries().at(id).phase : "left";
+  return s.entries().contains(id) ? s.entries().at(id).state : "left";
 }
 
 // A write that its holder gave up and made again arrives after what followed it.
@@ -261,15 +263,16 @@
   };
   const Command first = numbered(mirror({{"a", entry("a"), {}}}, true), token, 1);
   const Command second = numbered(mirror({{"a", leaving("a"), {}}}), token, 2);
-  EXPECT_EQ(s.apply(3, first).kind, Answer::Kind::kDone);
-  EXPECT_EQ(s.apply(4, second).kind, Answer::Kind::kDone);
+  EXPECT_EQ(s.apply(3, first).kind, ApplyResult::Kind::kApplied);
+  EXPECT_EQ(s.apply(4, second).kind, ApplyResult::Kind::kApplied);
   s = State::restore(s.snapshot());
-  EXPECT_EQ(s.apply(5, first), (Answer{Answer::Kind::kConflict, 2, "d"}));
-  EXPECT_EQ(s.apply(6, second).kind, Answer::Kind::kDone);  // the same one again
+  EXPECT_EQ(s.apply(5, first), (ApplyResult{ApplyResult::Kind::kConflict, 2, "d"}));
+  EXPECT_EQ(s.apply(6, second).kind, ApplyResult::Kind::kApplied);  // the same one again
   EXPECT_EQ(phase(s, "a"), "leaving");
   // A later grant counts from its own beginning.
   const Token later = s.apply(7, lease(kCampaign, "i", 60'000)).lease->token;
-  EXPECT_EQ(s.apply(8, numbered(mirror({{"a", entry("a"), {}}}, true), later, 1)).kind, Answer::Kind::kDone);
+  EXPECT_EQ(s.apply(8, numbered(mirror({{"a", entry("a"), {}}}, true), later, 1)).kind,
+            ApplyResult::Kind::kApplied);
   EXPECT_EQ(phase(s, "a"), "active");
 }
 
@@ -279,7 +282,7 @@
   s.apply(2, mirror({{"o", entry("o"), {}}}, false, 0, "other"));
   s.apply(3, mirror({{"a", entry("a"), {}}, {"b", entry("b"), {}}, {"mine", entry("mine", 7), {}}}, true));
   EXPECT_EQ(s.entries().at("a").owner, "d");
-  EXPECT_EQ(s.entries().at("mine").cell, 1);
+  EXPECT_EQ(s.entries().at("mine").group, 1);
   s.apply(4, mirror({{"a", {}, {}}, {"mine", {}, {}}, {"o", {}, {}}}));
   EXPECT_EQ(phase(s, "a"), "left");
   s.apply(5, mirror({{"c", entry("c"), {}}}, true));
@@ -292,12 +295,12 @@
 
 TEST(State, KeepsAnOperatorsDrainWhateverIsMirrored) {
   State s;
-  const auto both = [](const Entry& a) { return std::vector<Item>{{"a", a, {}}, {"b", entry("b"), {}}}; };
+  const auto both = [](const Entry& a) { return std::vector<Mutation>{{"a", a, {}}, {"b", entry("b"), {}}}; };
   s.apply(1, mirror(both(entry("a")), true));
   Entry changed = leaving("a");
-  changed.cell = 9;
+  changed.group = 9;
   s.apply(2, write({{"a", changed, {}}}));
-  EXPECT_EQ(s.entries().at("a").cell, 1);  // only the phase is an operator's
+  EXPECT_EQ(s.entries().at("a").group, 1);  // only the phase is an operator's
   EXPECT_EQ(s.entries().at("a").owner, "d");
   s.apply(3, mirror(both(entry("a", 5))));
   EXPECT_EQ(phase(s, "a"), "leaving");
@@ -324,7 +327,7 @@
   s.apply(1, mirror({{"a", entry("a"), {}}}, true, 1000));
   s.apply(2, tick(5000));
   EXPECT_EQ(s.source_ms(), 4000);
-  const Answer confirmed = s.apply(3, mirror({}, false, 6000));
+  const ApplyResult confirmed = s.apply(3, mirror({}, false, 6000));
   EXPECT_EQ(confirmed.revision, 1U);
   s.apply(4, tick(6500));
   EXPECT_EQ(State::restore(s.snapshot()).source_ms(), 500);
@@ -352,13 +355,13 @@
       Command command = tick(now);
       const size_t kind = random.below(10);
       if (kind >= 5)
-        command = lease(static_cast<LeaseCall::Kind>(random.below(5)), "h" + std::to_string(random.below(4)),
-                        now, a.leases().standing("l"));
+        command = lease(static_cast<LeaseCommand::Kind>(random.below(5)),
+                        "h" + std::to_string(random.below(4)), now, a.leases().standing("l"));
       if (kind == 5) command = under(write({{id, entry(id), {}}}, "", now), a.leases().standing("l"));
       if (kind == 8)
         command = mirror({{id, random.chance(0.7) ? std::optional(entry(id)) : std::nullopt, {}}},
                          random.chance(0.2), now);
-      if (kind == 6) command = {Command::Kind::kLead, now, "", {}, "", 5000 + random.below(100)};
+      if (kind == 6) command = {Command::Kind::kLeaderElected, now, "", {}, "", 5000 + random.below(100)};
       if (kind == 0)
         command = write({{id, entry(id, static_cast<int>(random.below(5))), {}}},
                         "r" + std::to_string(random.below(40)), now);
@@ -366,7 +369,7 @@
       if (kind == 2) command = enroll(id, 2000, now);
       if (kind == 3) command = renew(id, now);
       command = decode(encode(command));
-      const Answer answer = a.apply(index, command);
+      const ApplyResult answer = a.apply(index, command);
       if (b) {
         ASSERT_EQ(b->apply(index, command), answer) << "seed " << seed;
       }
@@ -389,7 +392,7 @@
     std::map<std::string, Entry> seen;
     Revision known = 0;
     for (Revision index = 1; index <= 300; ++index) {
-      std::vector<Item> items;
+      std::vector<Mutation> items;
       for (size_t i = 0; i <= random.below(3); ++i) {
         const std::string id = "e" + std::to_string(random.below(8));
         items.push_back(
--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -125,7 +125,7 @@
                        ends_.push_back(end);
                        began_ = began;
                      },
-                     [](const policy::ProbeEnded&) {}};
+                     [](const policy::HealthCheckEnded&) {}};
 };
 
 // The system has the whole call as soon as it was written, and the host gets it also where the connection is
@@ -179,7 +179,7 @@
       left -= got;
     }
   });
-  EXPECT_EQ(full.outcome, policy::Outcome::kFull);
+  EXPECT_EQ(full.outcome, policy::Outcome::kRejected);
 }
 
 // The close would take it with it: a message that was delivered would be sent again, or failed.
@@ -200,8 +200,8 @@
   const policy::AttemptEnded served = given_up("HTTP/1.1 200 OK\r\n" + rest, false);
   EXPECT_EQ(served.outcome, policy::Outcome::kOk);
   EXPECT_TRUE(served.final);
-  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n" + rest, false).outcome, policy::Outcome::kFull);
-  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n", false).outcome, policy::Outcome::kSpoilt);
+  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n" + rest, false).outcome, policy::Outcome::kRejected);
+  EXPECT_EQ(given_up("HTTP/1.1 503 x\r\n", false).outcome, policy::Outcome::kMalformedResponse);
   EXPECT_EQ(given_up("", true).outcome, policy::Outcome::kReset);
 }
 
@@ -224,7 +224,7 @@
     end();
     EXPECT_EQ(ends_[0].outcome, policy::Outcome::kOk) << longer;
     EXPECT_TRUE(ends_[0].final);
-    EXPECT_EQ(ends_[1].outcome, policy::Outcome::kFull);
+    EXPECT_EQ(ends_[1].outcome, policy::Outcome::kRejected);
   }
 }
 
@@ -263,7 +263,7 @@
     ::kill(child, SIGCONT);
     ASSERT_EQ(::waitpid(child, &status, 0), child);
     EXPECT_TRUE(WIFEXITED(status));
-    const policy::Outcome due = window ? policy::Outcome::kMoot : policy::Outcome::kConnectFailed;
+    const policy::Outcome due = window ? policy::Outcome::kNotStarted : policy::Outcome::kConnectFailed;
     EXPECT_EQ(WEXITSTATUS(status), static_cast<int>(due));
     connection_ = listener_.accept();
     EXPECT_EQ(bytes_until_the_end(connection_), 0u) << window;
@@ -274,7 +274,7 @@
 TEST_F(CrossingTest, AConnectionThatComesUpAfterTheCallsTimeBringsNoCall) {
   begin("body", 50'000, 2, 100'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
-  EXPECT_EQ(end().outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(end().outcome, policy::Outcome::kNotStarted);
   EXPECT_EQ(upstream_.written(), 0u);
   begin("body", 60'000'000, 2, 50'000);  // of one message's time: the other one goes alone
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
@@ -282,7 +282,7 @@
     EXPECT_EQ(next().headers["x-call-id"], "b");
     connection_.send(kOk);
   });
-  EXPECT_EQ(ends_[0].outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(ends_[0].outcome, policy::Outcome::kNotStarted);
   EXPECT_EQ(ends_[1].outcome, policy::Outcome::kOk);
 }
 
@@ -299,7 +299,7 @@
       std::this_thread::sleep_until(at_time(start_by_));
       EXPECT_LT(bytes_until_the_end(connection_), large.size());
     });
-    EXPECT_EQ(out.outcome, policy::Outcome::kMoot) << reads_on;
+    EXPECT_EQ(out.outcome, policy::Outcome::kNotStarted) << reads_on;
   }
 }
 
@@ -350,7 +350,7 @@
         EXPECT_EQ(next().body, "body");
         connection_.send("HTTP/1.1 503 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
       });
-      EXPECT_EQ(full.outcome, policy::Outcome::kFull) << bytes << recording;
+      EXPECT_EQ(full.outcome, policy::Outcome::kRejected) << bytes << recording;
       EXPECT_EQ(bytes_until_the_end(old), 0u) << "of the call";
     }
   }
@@ -376,11 +376,11 @@
           resets ? connection_.reset() : connection_.close();
         });
         const policy::Outcome due = cut == 0     ? policy::Outcome::kReset
-                                    : cut < told ? policy::Outcome::kSpoilt
+                                    : cut < told ? policy::Outcome::kMalformedResponse
                                                  : policy::Outcome::kOk;
         ASSERT_EQ(out.outcome, due) << answer.substr(0, cut) << " resets: " << resets;
         ASSERT_EQ(out.final, due == policy::Outcome::kOk);
-        ASSERT_EQ(out.wait, 0);
+        ASSERT_EQ(out.retry_after, 0);
       }
     }
   }
@@ -396,7 +396,7 @@
       connection_.close();
     });
     for (const policy::AttemptEnded& each : ends_) {
-      ASSERT_EQ(each.outcome, policy::Outcome::kSpoilt) << answer.substr(0, cut);
+      ASSERT_EQ(each.outcome, policy::Outcome::kMalformedResponse) << answer.substr(0, cut);
       ASSERT_FALSE(each.final);
     }
   }
@@ -420,8 +420,8 @@
       connection_.send(bytes);
       while (connection_.send(more)) continue;  // until the relay closes
     });
-    EXPECT_EQ(out.outcome, policy::Outcome::kSpoilt) << bytes << more.substr(0, 40);
-    EXPECT_LT(out.took, 30'000'000);
+    EXPECT_EQ(out.outcome, policy::Outcome::kMalformedResponse) << bytes << more.substr(0, 40);
+    EXPECT_LT(out.latency, 30'000'000);
   }
 }
 
--- a/tests/relay/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -345,12 +345,12 @@
 
 TEST(Crossing, AFollowerThatIsClosedAsItsPauseEndsCallsNoMore) {
   Turn turn;
-  registry::FollowSettings settings;
+  registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:9")};
-  registry::Follower::Listener listener;
+  registry::ListFollower::Listener listener;
   listener.told = [](const nlohmann::json&) {};
   listener.current = [] {};
-  registry::Follower follower(turn.io, settings, nullptr, listener);
+  registry::ListFollower follower(turn.io, settings, nullptr, listener);
   turn.run(milliseconds(510), [&] { follower.close(); });  // its tick is due as well
   EXPECT_TRUE(turn.io.stopped());
 }
@@ -371,14 +371,14 @@
 // The registry's members are called at the same pace.
 TEST_F(Script, AMemberThatFailsIsFollowedByAnotherCallInTime) {
   listen();
-  registry::FollowSettings settings;
+  registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
   settings.callers = 1000;
   settings.seed = 43;
-  registry::Follower::Listener listener;
+  registry::ListFollower::Listener listener;
   listener.told = [](const nlohmann::json&) {};
   listener.current = [] {};
-  registry::Follower follower(io_, settings, nullptr, listener);
+  registry::ListFollower follower(io_, settings, nullptr, listener);
   runner_ = std::thread([this] { io_.run(); });
   Socket failed = call(socket_);
   const auto since = Clock::now();
@@ -391,14 +391,14 @@
 
 TEST_F(Script, AMembersBlankLinesAreNoAnswerWhereNoListIsKnown) {
   listen();
-  registry::FollowSettings settings;
+  registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
   settings.callers = 1000;
   settings.seed = 43;
-  registry::Follower::Listener listener;
+  registry::ListFollower::Listener listener;
   listener.told = [this](const nlohmann::json& list) { told_ = list.at("revision"); };
   listener.current = [this] { ++current_; };
-  registry::Follower follower(io_, settings, nullptr, listener);
+  registry::ListFollower follower(io_, settings, nullptr, listener);
   runner_ = std::thread([this] { io_.run(); });
   const Socket first = call(socket_);
   const Socket second = call_after_blanks(first);
