--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 using relay::Handover;
+using relay::HandoverFrame;
 using relay::Journal;
-using relay::Parcel;
 
 constexpr size_t kDisk = 3'000'000;
 
@@ -71,22 +71,22 @@
   void give_call(const std::string& id, int attempt, const std::string& host = "s-1") {
     const nlohmann::json call = {
         {"host", host}, {"since", relay::steady_now()}, {"messages", {{id, attempt}}}};
-    EXPECT_TRUE(handover.give(Parcel::kCall, call.dump()));
+    EXPECT_TRUE(handover.send_frame(HandoverFrame::kCall, call.dump()));
   }
-  void give_end(const std::string& id, policy::Outcome outcome, Time wait = 0) {
+  void give_end(const std::string& id, policy::Outcome outcome, policy::Time wait = 0) {
     const nlohmann::json ended = {
         {"id", id},     {"outcome", static_cast<int>(outcome)}, {"final", false}, {"took", 1},
         {"wait", wait}, {"report", nlohmann::json::array()},    {"began", true}};
-    EXPECT_TRUE(handover.give(Parcel::kEnded, ended.dump()));
+    EXPECT_TRUE(handover.send_frame(HandoverFrame::kEnded, ended.dump()));
   }
-  void give_listener() { EXPECT_TRUE(handover.give(Parcel::kListener, "", listener.fd())); }
+  void give_listener() { EXPECT_TRUE(handover.send_frame(HandoverFrame::kListener, "", listener.fd())); }
   // One that was connected to it; its other end.
   Socket give_client() {
     Socket out = Socket::connect(listener.port());
     const Socket here = listener.accept();
     const nlohmann::json state = {
         {"since", relay::steady_now()}, {"came", relay::steady_now()}, {"began", 0}, {"spoke", true}};
-    EXPECT_TRUE(handover.give(Parcel::kClient, state.dump() + "\n", here.fd()));
+    EXPECT_TRUE(handover.send_frame(HandoverFrame::kClient, state.dump() + "\n", here.fd()));
     return out;
   }
 };
@@ -119,7 +119,7 @@
     EXPECT_EQ(::connect(socket_.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
   }
   // Kind 0: the other one is gone, or says nothing.
-  Parcel next() {
+  HandoverFrame next() {
     std::string bytes(400'000, '\0');
     iovec part{bytes.data(), bytes.size()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
@@ -129,9 +129,9 @@
     message.msg_control = control;
     message.msg_controllen = sizeof control;
     const ssize_t got = ::recvmsg(socket_.fd(), &message, MSG_CMSG_CLOEXEC);
-    Parcel out{static_cast<Parcel::Kind>(0), "", relay::Descriptor()};
+    HandoverFrame out{static_cast<HandoverFrame::Kind>(0), "", relay::Descriptor()};
     if (got <= 0) return out;
-    out.kind = static_cast<Parcel::Kind>(bytes[0]);
+    out.kind = static_cast<HandoverFrame::Kind>(bytes[0]);
     out.text = bytes.substr(1, static_cast<size_t>(got) - 1);
     if (const cmsghdr* head = CMSG_FIRSTHDR(&message); head != nullptr) {
       int fd = -1;
@@ -140,7 +140,7 @@
     }
     return out;
   }
-  void tell(Parcel::Kind kind, const std::string& text) {
+  void tell(HandoverFrame::Kind kind, const std::string& text) {
     EXPECT_TRUE(socket_.send(static_cast<char>(kind) + text));
   }
   void leave() { socket_.close(); }
@@ -180,10 +180,10 @@
     ASSERT_TRUE(clients.back().send(begun));
   }
   Asker next(s.program->state());
-  ASSERT_EQ(next.next().kind, Parcel::kFolder);
+  ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
-  ASSERT_EQ(next.next().kind, Parcel::kListener);
-  for (size_t i = 0; i < clients.size(); ++i) ASSERT_EQ(next.next().kind, Parcel::kClient) << i;
+  ASSERT_EQ(next.next().kind, HandoverFrame::kListener);
+  for (size_t i = 0; i < clients.size(); ++i) ASSERT_EQ(next.next().kind, HandoverFrame::kClient) << i;
   EXPECT_EQ(s.program->wait(), 0);
 }
 
@@ -232,9 +232,9 @@
     {
       Journal journal(next.state(), kDisk);
       const auto due = relay::wall_now() + 60'000'000;
-      ASSERT_TRUE(journal.accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
-      ASSERT_TRUE(journal.attempt("m-out", 0, relay::wall_now(), 0));
-      ASSERT_TRUE(journal.accepted({"m-held", "unsafe", "", 7, 0, "body", ""}, due));
+      ASSERT_TRUE(journal.record_accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
+      ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
+      ASSERT_TRUE(journal.record_accepted({"m-held", "unsafe", "", 7, 0, "body", ""}, due));
     }
     std::optional<Before> before(next.state());
     auto started = begin(next);
@@ -260,10 +260,10 @@
     EXPECT_EQ(s.put("m-out", facts("unsafe")), "+OK");
     EXPECT_EQ(id_of(s.host.next()), "m-out");
     Asker next(s.program->state());
-    ASSERT_EQ(next.next().kind, Parcel::kFolder);  // its right to the folder ends with it
+    ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);  // its right to the folder ends with it
     if (read) {
-      ASSERT_EQ(next.next().kind, Parcel::kCall);
-      ASSERT_EQ(next.next().kind, Parcel::kListener);
+      ASSERT_EQ(next.next().kind, HandoverFrame::kCall);
+      ASSERT_EQ(next.next().kind, HandoverFrame::kListener);
     }
     next.leave();
     s.host.answer("200");
@@ -284,7 +284,7 @@
   EXPECT_EQ(s.put("m-out", facts("safe")), "+OK");
   const Socket first = s.host.beside();
   Asker next(s.program->state());
-  ASSERT_EQ(next.next().kind, Parcel::kFolder);
+  ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);
   next.leave();
   s.next.emplace(s.config);
   s.next->succeed(*s.program);
@@ -304,7 +304,7 @@
   {
     Journal journal(next.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
   }
   Before before(next.state());
   auto started = begin(next);
@@ -369,16 +369,16 @@
   EXPECT_EQ(held.line(), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "m-1");  // while it is out the process in the middle goes on
   Asker last(middle.state());
-  ASSERT_EQ(last.next().kind, Parcel::kFolder);
-  ASSERT_EQ(last.next().kind, Parcel::kCall);
-  ASSERT_EQ(last.next().kind, Parcel::kListener);
-  ASSERT_EQ(last.next().kind, Parcel::kClient);
+  ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
+  ASSERT_EQ(last.next().kind, HandoverFrame::kCall);
+  ASSERT_EQ(last.next().kind, HandoverFrame::kListener);
+  ASSERT_EQ(last.next().kind, HandoverFrame::kClient);
   const Socket late = before.give_client();
-  const Parcel passed = last.next();
-  EXPECT_EQ(passed.kind, Parcel::kClient);
+  const HandoverFrame passed = last.next();
+  EXPECT_EQ(passed.kind, HandoverFrame::kClient);
   EXPECT_GE(passed.descriptor.get(), 0);
   s.host.answer("200");
-  EXPECT_EQ(last.next().kind, Parcel::kEnded);
+  EXPECT_EQ(last.next().kind, HandoverFrame::kEnded);
 }
 
 // Its repeat stays with the zone where it may have run.
@@ -389,8 +389,8 @@
   {
     Journal journal(next.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
-    ASSERT_TRUE(journal.attempt("m-1", 0, relay::wall_now(), 0, "a"));
+    ASSERT_TRUE(journal.record_accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 0, "a"));
   }
   Before before(next.state());
   auto started = begin(next);
@@ -400,7 +400,7 @@
   before.give_listener();
   started.get();
   const auto told = std::chrono::steady_clock::now();
-  before.give_end("m-1", policy::Outcome::kFull, 1'500'000);
+  before.give_end("m-1", policy::Outcome::kRejected, 1'500'000);
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   EXPECT_GE(std::chrono::steady_clock::now() - told, std::chrono::milliseconds(1500));
   s.host.answer("200");
@@ -415,9 +415,9 @@
     Journal journal(next.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
     for (const std::string id : {"m-1", "m-2"}) {
-      ASSERT_TRUE(journal.accepted({id, "unsafe", "", 7, 0, "body", "", 10}, due));
+      ASSERT_TRUE(journal.record_accepted({id, "unsafe", "", 7, 0, "body", "", 10}, due));
     }
-    ASSERT_TRUE(journal.attempt("m-1", 0, relay::wall_now(), 0, "a"));
+    ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 0, "a"));
   }
   Before before(next.state());
   auto started = begin(next);
@@ -427,7 +427,7 @@
   before.give_listener();
   started.get();
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
-  before.give_end("m-1", policy::Outcome::kFull);
+  before.give_end("m-1", policy::Outcome::kRejected);
   for (const std::string id : {"m-1", "m-2"}) {
     EXPECT_EQ(id_of(s.host.next()), id);
     s.host.answer("200");
@@ -446,8 +446,8 @@
   {
     Journal journal(next.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-1", "keyed", "key", 7, 0, "body", ""}, due));
-    ASSERT_TRUE(journal.attempt("m-1", 0, relay::wall_now(), 1, "b"));
+    ASSERT_TRUE(journal.record_accepted({"m-1", "keyed", "key", 7, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 1, "b"));
   }
   Before before(next.state());
   auto started = begin(next);
@@ -468,8 +468,8 @@
   {
     Journal journal(middle.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
-    ASSERT_TRUE(journal.attempt("m-out", 0, relay::wall_now(), 0));
+    ASSERT_TRUE(journal.record_accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
   }
   Before before(middle.state());
   auto started = begin(middle);
@@ -479,11 +479,11 @@
   before.give_listener();
   started.get();
   Asker last(middle.state());
-  for (const auto kind : {Parcel::kFolder, Parcel::kCall, Parcel::kListener})
+  for (const auto kind : {HandoverFrame::kFolder, HandoverFrame::kCall, HandoverFrame::kListener})
     ASSERT_EQ(last.next().kind, kind);
-  last.tell(Parcel::kCancel, "m-out");
+  last.tell(HandoverFrame::kCancel, "m-out");
   std::string told;
-  before.handover.hear_successor([&](std::optional<Parcel> parcel) {
+  before.handover.hear_successor([&](std::optional<HandoverFrame> parcel) {
     told = parcel ? static_cast<char>(parcel->kind) + parcel->text : "gone";
   });
   before.io.restart();
@@ -515,7 +515,7 @@
   const nlohmann::json state = {
       {"since", relay::steady_now()}, {"came", relay::steady_now()}, {"began", 0}, {"spoke", true}};
   waiting.send(put_bytes("m-2", facts("safe", 99)));
-  EXPECT_TRUE(before.handover.give(Parcel::kClient, state.dump() + "\n", later.fd()));
+  EXPECT_TRUE(before.handover.send_frame(HandoverFrame::kClient, state.dump() + "\n", later.fd()));
   EXPECT_EQ(waiting.line(), "+OK");
   s.host.answer("200");
   EXPECT_EQ(next.wait(), 0);
@@ -529,8 +529,8 @@
   {
     Journal journal(folder.path, kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
-    ASSERT_TRUE(journal.attempt("m-out", 0, relay::wall_now(), 0));
+    ASSERT_TRUE(journal.record_accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
   }
   Before before(folder.path);
   Inside middle;
@@ -543,21 +543,21 @@
   Asker last(folder.path);  // is there before the first event of the one in the middle
   const Socket late = before.give_client();
   middle.run();
-  ASSERT_EQ(last.next().kind, Parcel::kFolder);
-  const Parcel call = last.next();
-  ASSERT_EQ(call.kind, Parcel::kCall);
+  ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
+  const HandoverFrame call = last.next();
+  ASSERT_EQ(call.kind, HandoverFrame::kCall);
   EXPECT_EQ(nlohmann::json::parse(call.text).at("messages"), nlohmann::json({{"m-out", 0}}));
-  const Parcel listener = last.next();
-  ASSERT_EQ(listener.kind, Parcel::kListener);
+  const HandoverFrame listener = last.next();
+  ASSERT_EQ(listener.kind, HandoverFrame::kListener);
   EXPECT_GE(listener.descriptor.get(), 0);
-  const Parcel client = last.next();
-  EXPECT_EQ(client.kind, Parcel::kClient);
+  const HandoverFrame client = last.next();
+  EXPECT_EQ(client.kind, HandoverFrame::kClient);
   EXPECT_GE(client.descriptor.get(), 0);
   const nlohmann::json ended = {{"id", "m-out"}, {"outcome", 0}, {"final", true},
                                 {"took", 1},     {"wait", 0},    {"report", nlohmann::json::array()},
                                 {"began", true}};
-  EXPECT_TRUE(before.handover.give(Parcel::kEnded, ended.dump()));
-  EXPECT_EQ(last.next().kind, Parcel::kEnded);
+  EXPECT_TRUE(before.handover.send_frame(HandoverFrame::kEnded, ended.dump()));
+  EXPECT_EQ(last.next().kind, HandoverFrame::kEnded);
   EXPECT_EQ(middle.run_out.wait_for(std::chrono::milliseconds(kDeadlineMs)), std::future_status::ready);
 }
 
@@ -620,7 +620,7 @@
     EXPECT_EQ(client.line(), "-BUSY 500");  // and the old one goes on
   }
   Asker next(folder.path);
-  EXPECT_EQ(next.next().kind, Parcel::kFolder);
+  EXPECT_EQ(next.next().kind, HandoverFrame::kFolder);
 }
 
 // One that ends soon still does, although somebody asked in vain.
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(Config, SaysWhatIsMissing) {
   nlohmann::json config = testing::config_json("127.0.0.1:1", {});
-  EXPECT_EQ(parse_config(config.dump(), "/tmp").settings.max_open, 20);
+  EXPECT_EQ(parse_config(config.dump(), "/tmp").settings.max_pending_messages, 20);
   config["settings"]["bounds"].erase("open_cap");
   try {
     parse_config(config.dump(), "/tmp");
@@ -120,7 +120,7 @@
   const auto parse = [](const std::string& id, const std::string& list) {
     return parse_put({"MSG.PUT", "0", id, list, ""});
   };
-  EXPECT_EQ(parse("a", "c=x,d=8000,dest=7,r=1,again=1").life, 8'000'000);
+  EXPECT_EQ(parse("a", "c=x,d=8000,dest=7,r=1,again=1").time_to_live, 8'000'000);
   EXPECT_EQ(parse("a", "c=x,t=acme,d=8000,dest=7").tenant, "acme");
   EXPECT_THROW(parse("a\r\nX: y", "c=x,d=8000,dest=7"), std::invalid_argument);
   EXPECT_THROW(parse("a", "c=x,k=b\r\nc,d=8000,dest=7"), std::invalid_argument);
@@ -131,15 +131,15 @@
 
 TEST(Directory, HandlesStandForIdsAndOldNewsIsDropped) {
   const ListNames names{{"a"}, {"std"}};
-  const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> members) {
-    return parse_list(testing::list_json(revision, complete, std::move(members)), names);
+  const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> endpoints) {
+    return parse_list(testing::list_json(revision, complete, std::move(endpoints)), names);
   };
   Directory directory;
   const auto first = directory.apply(list(5, true, {testing::member_json("s-1", "127.0.0.1:80", 7)}), 1);
   const auto next = directory.apply(list(6, false, {testing::member_json("s-2", "127.0.0.1:80", 7)}), 2);
   ASSERT_TRUE(first && next);
-  const Endpoint old = first->members->front().endpoint;
-  EXPECT_NE(old, next->members->front().endpoint);
+  const Endpoint old = first->endpoints->front().endpoint;
+  EXPECT_NE(old, next->endpoints->front().endpoint);
   EXPECT_FALSE(directory.apply(list(4, true, {}), 3));
   EXPECT_TRUE(directory.active(old));
   directory.apply(list(7, true, {}), 4);
@@ -152,8 +152,8 @@
   const auto member = [](const std::string& id, const std::string& phase) {
     return testing::member_json(id, "127.0.0.1:80", 7, phase);
   };
-  const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> members) {
-    return parse_list(testing::list_json(revision, complete, std::move(members)), names);
+  const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> endpoints) {
+    return parse_list(testing::list_json(revision, complete, std::move(endpoints)), names);
   };
   Directory directory;
   const auto handle = [&](const std::string& id) {
@@ -205,7 +205,7 @@
   }
   ~JournalTest() override { std::filesystem::remove_all(folder_); }
 
-  static Handed message(const std::string& id, size_t body = 10) {
+  static SubmittedMessage message(const std::string& id, size_t body = 10) {
     return {id, "keyed", "key", 7, 0, std::string(body, '\0'), "acme"};
   }
   std::string bytes() const {
@@ -219,13 +219,13 @@
 TEST_F(JournalTest, TellsWhatBecameOfEachMessage) {
   {
     Journal journal(folder_, 1'000'000);
-    for (const std::string id : {"a", "b", "c", "d"}) ASSERT_TRUE(journal.accepted(message(id), 1234));
-    journal.attempt("a", 0, 100, 1);
-    journal.attempt("a", 1, 200, 0, "north");
-    journal.attempt("b", 0, 100, 1);
-    journal.never_ran("b", 0);
-    journal.owed({"c", true, 500});
-    journal.done("d");
+    for (const std::string id : {"a", "b", "c", "d"}) ASSERT_TRUE(journal.record_accepted(message(id), 1234));
+    journal.record_attempt("a", 0, 100, 1);
+    journal.record_attempt("a", 1, 200, 0, "north");
+    journal.record_attempt("b", 0, 100, 1);
+    journal.record_not_started("b", 0);
+    journal.record_final_answer({"c", true, 500});
+    journal.record_acknowledged("d");
   }
   const Journal journal(folder_, 1'000'000);
   const auto& left = journal.recovered();
@@ -234,15 +234,15 @@
   EXPECT_EQ(left[0].message.tenant, "acme");
   EXPECT_EQ(left[0].due, 1234);
   EXPECT_EQ(left[0].attempts, 2);
-  EXPECT_EQ(left[0].unsettled.at(0).at, 100);
+  EXPECT_EQ(left[0].unsettled.at(0).sent_at, 100);
   EXPECT_EQ(left[0].unsettled.at(0).zone, 1);  // as older versions told it
   EXPECT_EQ(left[0].unsettled.at(0).zone_name, "");
   EXPECT_EQ(left[0].unsettled.at(1).zone_name, "north");
   EXPECT_EQ(left[1].attempts, 1);
   EXPECT_TRUE(left[1].unsettled.empty());
-  ASSERT_TRUE(left[2].owed);
-  EXPECT_TRUE(left[2].owed->returned);
-  EXPECT_EQ(left[2].owed->after, 500);
+  ASSERT_TRUE(left[2].unacknowledged_answer);
+  EXPECT_TRUE(left[2].unacknowledged_answer->returned);
+  EXPECT_EQ(left[2].unacknowledged_answer->retry_after, 500);
 }
 
 // SIGKILL may fall between any two bytes: what was written whole before is kept, whatever is cut.
@@ -250,16 +250,16 @@
   size_t first = 0;
   {
     Journal journal(folder_, 1'000'000);
-    journal.accepted(message("a"), 1);
+    journal.record_accepted(message("a"), 1);
     first = bytes().size();
-    journal.accepted(message("b"), 1);
+    journal.record_accepted(message("b"), 1);
   }
   const std::string whole = bytes();
   for (size_t cut = first; cut < whole.size(); ++cut) {
     std::ofstream(folder_ / "journal", std::ios::binary | std::ios::trunc) << whole.substr(0, cut);
     Journal journal(folder_, 1'000'000);
     ASSERT_EQ(journal.recovered().size(), 1u) << cut;
-    ASSERT_TRUE(journal.accepted(message("c"), 1));
+    ASSERT_TRUE(journal.record_accepted(message("c"), 1));
     ASSERT_EQ(bytes().size(), whole.size()) << cut;
   }
 }
@@ -268,17 +268,17 @@
   constexpr size_t kDisk = 200'000;
   {
     Journal journal(folder_, kDisk);
-    ASSERT_TRUE(journal.accepted(message("kept", 1000), 1));
+    ASSERT_TRUE(journal.record_accepted(message("kept", 1000), 1));
     for (int i = 0; i < 2000; ++i) {
       const std::string id = "m" + std::to_string(i);
-      ASSERT_TRUE(journal.accepted(message(id, 1000), 1));
-      journal.done(id);
+      ASSERT_TRUE(journal.record_accepted(message(id, 1000), 1));
+      journal.record_acknowledged(id);
       ASSERT_LT(2 * bytes().size(), kDisk);
     }
     int room = 0;
-    while (journal.accepted(message("n" + std::to_string(room), 1000), 1)) ++room;
+    while (journal.record_accepted(message("n" + std::to_string(room), 1000), 1)) ++room;
     EXPECT_GT(room, 20);
-    EXPECT_TRUE(journal.attempt("kept", 0, 1, 0));  // there is always room for what follows
+    EXPECT_TRUE(journal.record_attempt("kept", 0, 1, 0));  // there is always room for what follows
   }
   const Journal journal(folder_, kDisk);
   EXPECT_EQ(journal.recovered().front().message.id, "kept");
@@ -304,27 +304,27 @@
     std::filesystem::create_directory(folder_);
     {
       Journal journal(folder_, 1'000'000);
-      for (const std::string id : {"a", "b"}) ASSERT_TRUE(journal.accepted(message(id), 1234));
+      for (const std::string id : {"a", "b"}) ASSERT_TRUE(journal.record_accepted(message(id), 1234));
       {
         const testing::FullDisk full(bytes().size());
-        EXPECT_FALSE(journal.accepted(message("c"), 1234));
-        journal.owed({"a", true, 500});
+        EXPECT_FALSE(journal.record_accepted(message("c"), 1234));
+        journal.record_final_answer({"a", true, 500});
       }
-      EXPECT_TRUE(moved ? journal.settle() : journal.accepted(message("d"), 1234));
+      EXPECT_TRUE(moved ? journal.settle() : journal.record_accepted(message("d"), 1234));
     }
     const Journal again(folder_, 1'000'000);
     ASSERT_EQ(again.recovered().size(), moved ? 2U : 3U);
-    EXPECT_TRUE(again.recovered()[0].owed) << moved;
-    EXPECT_FALSE(again.recovered()[1].owed);
+    EXPECT_TRUE(again.recovered()[0].unacknowledged_answer) << moved;
+    EXPECT_FALSE(again.recovered()[1].unacknowledged_answer);
   }
 }
 
 TEST_F(JournalTest, TakesAnIdAgainAfterItsEnd) {
   {
     Journal journal(folder_, 1'000'000);
-    journal.accepted(message("a"), 1);
-    journal.done("a");
-    journal.accepted(message("a"), 2);
+    journal.record_accepted(message("a"), 1);
+    journal.record_acknowledged("a");
+    journal.record_accepted(message("a"), 2);
   }
   const Journal journal(folder_, 1'000'000);
   ASSERT_EQ(journal.recovered().size(), 1u);
--- a/tests/relay/recovery_test.cpp
+++ b/tests/relay/recovery_test.cpp
@@ -130,13 +130,13 @@
     const auto due = relay::wall_now() + 60'000'000;
     for (const std::string id : {"m-untried", "m-ran", "m-class", "m-known"}) {
       const std::string message_class = id == "m-known" ? "keyed" : id == "m-class" ? "gone" : "lost";
-      ASSERT_TRUE(older.accepted({id, message_class, "key", 7, 0, "body", ""}, due));
+      ASSERT_TRUE(older.record_accepted({id, message_class, "key", 7, 0, "body", ""}, due));
     }
     older.remember("class gone",
                    R"({"effect":0,"scope":0,"window":0,"in_order":false,"target":1000000,"give_up":60000000,)"
                    R"("worth":1.0,"late_worth":0.5})");  // safe
-    ASSERT_TRUE(older.attempt("m-ran", 0, relay::wall_now(), 0));
-    ASSERT_TRUE(older.attempt("m-class", 0, relay::wall_now(), 0));
+    ASSERT_TRUE(older.record_attempt("m-ran", 0, relay::wall_now(), 0));
+    ASSERT_TRUE(older.record_attempt("m-class", 0, relay::wall_now(), 0));
   }
   s.program.start();
   EXPECT_EQ(s.discovery.notice(), failed("m-ran"));
@@ -469,7 +469,7 @@
 std::map<std::string, State> states_in(const Journal& journal) {
   std::map<std::string, State> out;
   for (const Recovered& entry : journal.recovered()) {
-    State state{entry.attempts, {}, entry.owed.has_value()};
+    State state{entry.attempts, {}, entry.unacknowledged_answer.has_value()};
     for (const auto& [attempt, sent] : entry.unsettled) state.unsettled.insert(attempt);
     EXPECT_TRUE(out.emplace(entry.message.id, state).second);
   }
@@ -537,7 +537,7 @@
       {
         Journal journal(s.program.state(), kDisk);
         ASSERT_EQ(states_in(journal), states) << begin;
-        ASSERT_TRUE(journal.accepted({"m-new", "safe", "", 7, 0, "body", ""}, 1));
+        ASSERT_TRUE(journal.record_accepted({"m-new", "safe", "", 7, 0, "body", ""}, 1));
       }
       const Journal again(s.program.state(), kDisk);  // what came behind the cut is found
       ASSERT_EQ(again.recovered().back().message.id, "m-new") << begin;
@@ -629,9 +629,9 @@
     const auto due = relay::wall_now() + 2'000'000;
     {
       Journal journal(folder.path, kDisk);
-      ASSERT_TRUE(journal.accepted({"m-short", "safe", "", 7, 0, "body", ""}, due));
+      ASSERT_TRUE(journal.record_accepted({"m-short", "safe", "", 7, 0, "body", ""}, due));
       if (!alone) {
-        ASSERT_TRUE(journal.accepted({"m-held", "safe", "", 7, 0, "body", ""}, due + 60'000'000));
+        ASSERT_TRUE(journal.record_accepted({"m-held", "safe", "", 7, 0, "body", ""}, due + 60'000'000));
       }
     }
     Inside relay;
@@ -655,7 +655,7 @@
   {
     Journal journal(folder.path, kDisk);
     const auto due = relay::wall_now() + 60'000'000;
-    ASSERT_TRUE(journal.accepted({"m-held", "safe", "", 99, 0, "body", ""}, due));
+    ASSERT_TRUE(journal.record_accepted({"m-held", "safe", "", 99, 0, "body", ""}, due));
   }
   Inside relay;
   Socket client;
--- a/tests/relay/shutdown_test.cpp
+++ b/tests/relay/shutdown_test.cpp
@@ -62,7 +62,7 @@
   relay::Clients clients_{io_,
                           {boost::asio::ip::address_v4::loopback(), 0},
                           16,
-                          [this](const relay::Handed&, const relay::Clients::Answer& answer) {
+                          [this](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) {
                             ++puts_;
                             answer("+OK");
                           }};
@@ -208,8 +208,9 @@
 // The relay stands still for longer than a command may take, and the rest of many comes meanwhile: more than
 // one look at the system shows, so that its clock strikes before some are read.
 TEST_F(Shutdown, ACommandThatIsThereWholeIsServedHoweverLate) {
-  relay::Clients many(io_, {boost::asio::ip::address_v4::loopback(), 0}, 400,
-                      [](const relay::Handed&, const relay::Clients::Answer& answer) { answer("+OK"); });
+  relay::Clients many(
+      io_, {boost::asio::ip::address_v4::loopback(), 0}, 400,
+      [](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) { answer("+OK"); });
   std::vector<Socket> crowd;
   for (int i = 0; i < 250; ++i) {
     crowd.push_back(Socket::connect(many.address().port()));
--- a/tests/relay/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -94,23 +94,23 @@
                        ++ended_count_;
                        began_ = began;
                      },
-                     [](const policy::ProbeEnded&) {}};
+                     [](const policy::HealthCheckEnded&) {}};
 };
 
 TEST_F(UpstreamTest, ReadsEachAnswer) {
   const policy::AttemptEnded ok = call(answering("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
   EXPECT_EQ(ok.outcome, policy::Outcome::kOk);
   EXPECT_TRUE(ok.final);
-  EXPECT_EQ(ok.report, (std::vector<float>{0.5, 25}));
+  EXPECT_EQ(ok.load_report, (std::vector<float>{0.5, 25}));
   EXPECT_EQ(call(answering("500")).outcome, policy::Outcome::kError);
   const policy::AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
-  EXPECT_EQ(told.outcome, policy::Outcome::kFull);
-  EXPECT_EQ(told.wait, 1'250'000);
-  EXPECT_EQ(call(answering("503")).outcome, policy::Outcome::kFull);
-  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(told.outcome, policy::Outcome::kRejected);
+  EXPECT_EQ(told.retry_after, 1'250'000);
+  EXPECT_EQ(call(answering("503")).outcome, policy::Outcome::kRejected);
+  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, policy::Outcome::kNotStarted);
   EXPECT_FALSE(call(answering("504")).final);
   const policy::AttemptEnded over = call(answering("410"));
-  EXPECT_EQ(over.outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(over.outcome, policy::Outcome::kNotStarted);
   EXPECT_TRUE(over.final);
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
 }
@@ -128,21 +128,21 @@
   EXPECT_TRUE(ends[0].final);
   EXPECT_EQ(ends[1].outcome, policy::Outcome::kError);
   EXPECT_FALSE(ends[1].final);
-  EXPECT_EQ(ends[2].outcome, policy::Outcome::kFull);
-  EXPECT_EQ(ends[2].wait, 1'500'000);
+  EXPECT_EQ(ends[2].outcome, policy::Outcome::kRejected);
+  EXPECT_EQ(ends[2].retry_after, 1'500'000);
   const auto over = bundle(
       [](Host& host) {
         host.next();
         host.raw(told("a void\r\nb used_up\r\n"));
       },
       {20'000'000, 20'000'000});
-  EXPECT_EQ(over[0].outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(over[0].outcome, policy::Outcome::kNotStarted);
   EXPECT_TRUE(over[0].final);
-  EXPECT_EQ(over[1].outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(over[1].outcome, policy::Outcome::kNotStarted);
   EXPECT_FALSE(over[1].final);
   EXPECT_EQ(host_.connections(), 1);
   for (const policy::AttemptEnded& end : bundle(answering("503"), {20'000'000, 20'000'000})) {
-    EXPECT_EQ(end.outcome, policy::Outcome::kFull);
+    EXPECT_EQ(end.outcome, policy::Outcome::kRejected);
   }
 }
 
@@ -157,7 +157,7 @@
         },
         {20'000'000, 20'000'000});
     for (const policy::AttemptEnded& end : ends) {
-      EXPECT_EQ(end.outcome, policy::Outcome::kSpoilt) << body;
+      EXPECT_EQ(end.outcome, policy::Outcome::kMalformedResponse) << body;
       EXPECT_FALSE(end.final) << body;
     }
   }
@@ -167,7 +167,7 @@
 TEST_F(UpstreamTest, ABundleEndsWithTheFirstMessageThatMayBeSentAgain) {
   for (const policy::AttemptEnded& end : bundle([](Host& host) { host.next(); }, {200'000, 30'000'000})) {
     EXPECT_EQ(end.outcome, policy::Outcome::kTimeout);
-    EXPECT_LT(end.took, 20'000'000);
+    EXPECT_LT(end.latency, 20'000'000);
   }
   const auto ends = bundle(
       [this](Host& host) {
@@ -219,7 +219,7 @@
 // The host drained, or its destination told another call to wait, while this one's connection came up.
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
-  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, policy::Outcome::kMoot);
+  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, policy::Outcome::kNotStarted);
   EXPECT_FALSE(began_);
   may_start_ = true;
   EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
@@ -255,7 +255,7 @@
       host.raw(bytes);
       EXPECT_TRUE(host.left());
     });
-    EXPECT_EQ(end.outcome, policy::Outcome::kSpoilt) << bytes.substr(0, 60);
+    EXPECT_EQ(end.outcome, policy::Outcome::kMalformedResponse) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
     EXPECT_EQ(host_.connections(), ++made);
   }
@@ -290,7 +290,7 @@
         if (!left) return host.drop();
         EXPECT_TRUE(host.left());
       });
-      EXPECT_EQ(end.outcome, cut == line.size() ? policy::Outcome::kOk : policy::Outcome::kSpoilt)
+      EXPECT_EQ(end.outcome, cut == line.size() ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse)
           << line.substr(0, cut);
       EXPECT_EQ(end.final, cut == line.size());
     }
@@ -303,7 +303,7 @@
     host.raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
     host.answer("503");
   });
-  EXPECT_EQ(end.outcome, policy::Outcome::kFull);
+  EXPECT_EQ(end.outcome, policy::Outcome::kRejected);
   EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);
 }
@@ -327,24 +327,24 @@
 // A field read as zero would pass for a limit or a load of zero.
 TEST_F(UpstreamTest, DropsAReportThatItCannotRead) {
   for (const std::string report : {"x0=0.5,x1=?", "x0=nan,x1=25", "x0=-1,x1=25", "x0", "x0=0.5 x1=25"}) {
-    EXPECT_TRUE(call(answering("200", "X-Load-Report: " + report + "\r\n")).report.empty()) << report;
+    EXPECT_TRUE(call(answering("200", "X-Load-Report: " + report + "\r\n")).load_report.empty()) << report;
   }
-  EXPECT_EQ(call(answering("200", "X-Load-Report: x0=0.5,x9=a,x1=2\r\n")).report,
+  EXPECT_EQ(call(answering("200", "X-Load-Report: x0=0.5,x9=a,x1=2\r\n")).load_report,
             (std::vector<float>{0.5, 2}));
 }
 
 TEST_F(UpstreamTest, HeedsNoWaitThatIsNoNumber) {
   for (const std::string wait : {"nan", "-5", "soon", "1.5x", "inf"}) {
     const policy::AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
-    EXPECT_EQ(end.outcome, policy::Outcome::kFull);
-    EXPECT_EQ(end.wait, 0) << wait;
+    EXPECT_EQ(end.outcome, policy::Outcome::kRejected);
+    EXPECT_EQ(end.retry_after, 0) << wait;
   }
 }
 
 // It binds the messages that come while it lasts, too.
 TEST_F(UpstreamTest, HeedsAWaitThatOutlastsEveryMessage) {
-  EXPECT_EQ(call(answering("429", "Retry-After: 300\r\n")).wait, 300'000'000);
-  EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).wait, 3'600'000'000);
+  EXPECT_EQ(call(answering("429", "Retry-After: 300\r\n")).retry_after, 300'000'000);
+  EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).retry_after, 3'600'000'000);
 }
 
 }  // namespace
--- a/tests/sim/wire_test.cpp
+++ b/tests/sim/wire_test.cpp
@@ -58,14 +58,14 @@
                              "06 000a0de90e6f2b19");
   ASSERT_EQ(events.size(), 3u);
   EXPECT_EQ(events[0].instance, 3);
-  const auto& arrival = event<policy::Arrival>(events[0]);
+  const auto& arrival = event<policy::MessageArrived>(events[0]);
   EXPECT_EQ(arrival.id, 0x000ae1aa5d3a91c4u);
-  EXPECT_EQ(arrival.key, 0x91f03b7c55d20a64u);
-  EXPECT_EQ(arrival.due, 8'652'250);
+  EXPECT_EQ(arrival.ordering_key, 0x91f03b7c55d20a64u);
+  EXPECT_EQ(arrival.deadline, 8'652'250);
   EXPECT_EQ(arrival.destination, 57);
   EXPECT_EQ(event<policy::TimerFired>(events[1]).token, 77u);
   EXPECT_EQ(events[2].instance, 5);
-  EXPECT_EQ(event<policy::Withdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
+  EXPECT_EQ(event<policy::MessageWithdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
 }
 
 TEST(Wire, ReadsAnOutcomeWithAWaitAndAReport) {
@@ -76,12 +76,12 @@
                              "02 3f000000 40a00000");
   const auto& ended = event<policy::AttemptEnded>(events.at(0));
   EXPECT_EQ(ended.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
-  EXPECT_EQ(ended.took, 18'500);
-  EXPECT_EQ(ended.outcome, policy::Outcome::kFull);
+  EXPECT_EQ(ended.latency, 18'500);
+  EXPECT_EQ(ended.outcome, policy::Outcome::kRejected);
   EXPECT_FALSE(ended.final);
-  EXPECT_EQ(ended.wait, 500'000);
+  EXPECT_EQ(ended.retry_after, 500'000);
   EXPECT_EQ(ended.attempt, 2);
-  EXPECT_EQ(ended.report, (std::vector<float>{0.5f, 5.0f}));
+  EXPECT_EQ(ended.load_report, (std::vector<float>{0.5f, 5.0f}));
 }
 
 const char kEntryA[] = "01 00 3f800000 0a124a07 1b5b 0039 0000000000000000 0000";
@@ -94,11 +94,11 @@
       decoder, 5,
       std::string("0c 0003 0b 00000000 00000001") + kEntryA + view + "0b 00000000 00000001" + kEntryB + view);
   ASSERT_EQ(events.size(), 2u);
-  const policy::Member& first = event<policy::MembersChanged>(events[0]).members->at(0);
+  const policy::EndpointInfo& first = event<policy::EndpointListChanged>(events[0]).endpoints->at(0);
   EXPECT_EQ(first.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
   EXPECT_EQ(first.listing, policy::Listing::kReady);
   EXPECT_EQ(first.destination, 57);
-  const policy::Member& second = event<policy::MembersChanged>(events[1]).members->at(0);
+  const policy::EndpointInfo& second = event<policy::EndpointListChanged>(events[1]).endpoints->at(0);
   EXPECT_EQ(second.listing, policy::Listing::kDraining);
   EXPECT_EQ(second.zone, 1);
   EXPECT_EQ(second.kind, 1);
@@ -108,7 +108,8 @@
 TEST(Wire, AFailedViewNeedsNoList) {
   Decoder decoder;
   const auto events = decode(decoder, 2, "0c 0003 02 00000007 03 00000000");
-  EXPECT_EQ(event<policy::MembersChanged>(events.at(0)).form, policy::MembersChanged::Form::kFailed);
+  EXPECT_EQ(event<policy::EndpointListChanged>(events.at(0)).form,
+            policy::EndpointListChanged::Form::kFailed);
 }
 
 TEST(Wire, ReadsStartKillProbeAndNote) {
@@ -118,19 +119,24 @@
                              "08 0a9011f2 1b84 01 3f56f0068db8bac7 00 09 0002 0004 68692037");
   EXPECT_EQ(std::get<PowerOn>(events.at(0).event).facts, "a=b");
   EXPECT_TRUE(std::holds_alternative<Kill>(events.at(1).event));
-  EXPECT_TRUE(event<policy::ProbeEnded>(events.at(2)).ok);
-  EXPECT_EQ(event<policy::PeerNote>(events.at(3)).bytes, "hi 7");
+  EXPECT_TRUE(event<policy::HealthCheckEnded>(events.at(2)).ok);
+  EXPECT_EQ(event<policy::GossipReceived>(events.at(3)).bytes, "hi 7");
 }
 
 TEST(Wire, WritesActions) {
   Encoder out;
-  const std::vector<policy::Action> actions = {policy::Send{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000},
-                                               policy::SetTimer{77, 8'912'250}};
+  const std::vector<policy::Action> actions = {
+      policy::SendAttempt{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000}, policy::SetTimer{77, 8'912'250}};
   out.actions(3, actions);
   out.actions(4, {});
-  const std::vector<policy::Action> more = {
-      policy::Refuse{5, 300'000}, policy::Fail{6},     policy::Cancel{7, 1}, policy::Probe{{1, 2}},
-      policy::CloseIdle{{1, 2}},  policy::WatchList{}, policy::Log{"hi"},    policy::TellPeers{"hi"}};
+  const std::vector<policy::Action> more = {policy::Reject{5, 300'000},
+                                            policy::Fail{6},
+                                            policy::Cancel{7, 1},
+                                            policy::SendHealthCheck{{1, 2}},
+                                            policy::CloseIdleConnections{{1, 2}},
+                                            policy::OpenListWatch{},
+                                            policy::Log{"hi"},
+                                            policy::SendGossip{"hi"}};
   out.actions(5, more);
   EXPECT_EQ(out.frame(), bytes("0000006e 0000000c"
                                "04 0003 07 000ae1aa5d3a91c4 0a124a07 1b5b 3fb47ae147ae147b"
