--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -9,29 +9,29 @@
 int main() {
   turntally::policy::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].effect = turntally::policy::Idempotency::kIdempotent;
-  settings.classes[0].target = 1'000'000;
-  settings.classes[0].give_up = 4'000'000;
+  settings.classes[0].idempotency = turntally::policy::Idempotency::kIdempotent;
+  settings.classes[0].latency_objective = 1'000'000;
+  settings.classes[0].max_lifetime = 4'000'000;
   settings.kinds.resize(1);
-  settings.slots = 4;
-  settings.max_open = 100;
+  settings.max_concurrent_calls = 4;
+  settings.max_pending_messages = 100;
   settings.max_attempts = 3;
 
   turntally::policy::Policy policy(settings, /*seed=*/1);
   std::vector<turntally::policy::Event> events;
-  turntally::policy::MembersChanged list;
-  list.members =
-      std::make_shared<std::vector<turntally::policy::Member>>(1);  // one endpoint, of destination 0
+  turntally::policy::EndpointListChanged list;
+  list.endpoints =
+      std::make_shared<std::vector<turntally::policy::EndpointInfo>>(1);  // one endpoint, of destination 0
   events.push_back(list);
-  turntally::policy::Arrival message;
+  turntally::policy::MessageArrived message;
   message.id = 7;
-  message.due = 4'000'000;
+  message.deadline = 4'000'000;
   events.push_back(message);
 
   std::vector<turntally::policy::Action> actions;
   policy.step(/*now=*/0, events, actions);
   for (const turntally::policy::Action& action : actions) {
-    if (const auto* send = std::get_if<turntally::policy::Send>(&action)) {
+    if (const auto* send = std::get_if<turntally::policy::SendAttempt>(&action)) {
       std::printf("send message %llu\n", static_cast<unsigned long long>(send->id));
       return 0;  // a relay makes the call here, and passes its AttemptEnded to a later step
     }
