--- a/policy/policy.cpp
+++ b/policy/policy.cpp
@@ -10,47 +10,46 @@
 #include <tuple>
 #include <utility>
 
+#include "policy/latency_estimator.h"
+#include "policy/list_watch.h"
+#include "policy/random.h"
+#include "policy/rate_estimator.h"
+#include "policy/retry_budget.h"
+#include "policy/tenant_quota.h"
+#include "policy/time.h"
+#include "policy/token_bucket.h"
+
 namespace turntally::policy {
 namespace {
 
 // ---- Constants ----
 
-constexpr Time kMs = 1000;
-constexpr Time kSecond = 1000 * kMs;
 constexpr uint64_t kElsewhere = uint64_t{1} << 63;  // numbers of calls that the process before made
-constexpr Time kNever = std::numeric_limits<Time>::max();
 
-// Retry bucket: a served call earns a tenth, so repeats stay under a tenth when failures are common.
-constexpr int kToken = 10;  // in parts; a served call earns one
-// Full at the start, for each message of a bundle: N retries ride out short troubles.
-constexpr int kBucketCap = 10 * kToken;
-constexpr Time kPauseLeast = 20 * kMs;  // a repeat's random pause: long enough to leave the moment of failure
-constexpr Time kPauseMost = 250 * kMs;
+constexpr Time kPauseLeast =
+    20 * kMillisecond;  // a repeat's random pause: long enough to leave the moment of failure
+constexpr Time kPauseMost = 250 * kMillisecond;
 
 // Slot share: one destination's part of the slots while others wait, and how far long calls narrow it.
 constexpr double kSlotShare = 0.5;
 constexpr double kSlotShareLeast = 0.15;
 
 // Health.
-constexpr double kGain = 0.15;              // weight of a new latency or failure sample
 constexpr Time kKeepRegain = 30 * kSecond;  // the age at which an idle connection is trusted doubles so fast
 constexpr int kKeepCut = 3;                 // that age, in parts of the age at which a call on one was lost
 constexpr double kFullTable = 0.05;         // more calls without a connection: idle ones fill the tables
-constexpr Time kProofSpan = 2500 * kMs;     // served so soon after, it was up all along
+constexpr Time kProofSpan = 2500 * kMillisecond;  // served so soon after, it was up all along
 constexpr double kStaleAbove = 0.2;  // calls on idle connections fail by so much more than on fresh ones
-constexpr Time kFirstLatency = 400 * kMs;  // assumed before anything was measured
-constexpr double kSlowDevs = 6;         // a call older than mean + this many deviations is suspiciously slow
-constexpr Time kSlowLeast = 700 * kMs;  // and at least this old
 constexpr double kTimeoutTimes = 2;  // time-out of a repeatable message, in multiples of the suspicious age
 constexpr double kUnsafeTimes = 2;   // and of an unsafe one, for which a time-out ends all hope, of that
 constexpr int kOverdue = 2;          // so many overdue calls, with nothing served since, make a hang
 constexpr double kHopeLeast = 0.35;  // a smaller share than this is not waited for when slots are short
-constexpr Time kRateMemory = 10 * kSecond;  // memory of the own served rate
-constexpr int kDeadStreak = 3;   // so many failures in a row, over at least kDeadSpan, prove an outage
-constexpr int kAgainStreak = 2;  // and so many, after a return, that it was none
-constexpr Time kDeadSpan = 800 * kMs;
-constexpr Time kShutSpan = 2500 * kMs;  // refusals alone must last longer: spans of a limit are shorter
-constexpr Time kAvoidLeast = kSecond;   // a failing endpoint is passed over for so long, doubled up to
+constexpr int kDeadStreak = 3;       // so many failures in a row, over at least kDeadSpan, prove an outage
+constexpr int kAgainStreak = 2;      // and so many, after a return, that it was none
+constexpr Time kDeadSpan = 800 * kMillisecond;
+constexpr Time kShutSpan =
+    2500 * kMillisecond;               // refusals alone must last longer: spans of a limit are shorter
+constexpr Time kAvoidLeast = kSecond;  // a failing endpoint is passed over for so long, doubled up to
 constexpr Time kAvoidMost = 8 * kSecond;
 
 // Guards.
@@ -78,75 +77,16 @@
 constexpr double kRegainMost = 3;    // seconds that one report can stand for
 constexpr double kLimitBurst = 0.4;  // seconds of the pace that may go at once
 // Of the end of a key's window: a process may be held up for so long between reading its clock and writing.
-constexpr Time kWindowMargin = 150 * kMs;
+constexpr Time kWindowMargin = 150 * kMillisecond;
 constexpr double kShedAbove = 0.9;  // part of max_open above which the least worth is given back
 
-// Of a tenant's quota a relay takes so many seconds at once, and what chance brings beside: so many standard
-// deviations. Of a small even part that is the most.
-constexpr double kQuotaSpan = 2;
-constexpr double kQuotaChance = 3;
-
-constexpr Time kRetryLeast = 300 * kMs;  // what a refused client is told to wait
-constexpr Time kRetryMost = 1500 * kMs;
+constexpr Time kRetryLeast = 300 * kMillisecond;  // what a refused client is told to wait
+constexpr Time kRetryMost = 1500 * kMillisecond;
 
 // Ordering and choice of endpoint.
 constexpr double kLot = 0.01;           // seconds: less than what tells endpoints apart
 constexpr double kSecondsPerPrice = 5;  // seconds of latency that a price of 1 a call is held against
 
-double seconds(Time t) { return static_cast<double>(t) / 1e6; }
-Time micros(double s) { return static_cast<Time>(std::ceil(std::min(s, 1e9) * 1e6)); }
-
-struct Random {  // splitmix64: the same numbers everywhere
-  uint64_t state;
-  Time between(Time low, Time high) {
-    uint64_t z = (state += 0x9e3779b97f4a7c15u);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return low + static_cast<Time>((z ^ (z >> 31)) % static_cast<uint64_t>(high - low + 1));
-  }
-};
-
-// Mean and mean deviation of the time that served calls take, in seconds.
-struct Latency {
-  double mean = seconds(kFirstLatency);
-  double dev = seconds(kFirstLatency) / 2;
-  int seen = 0;
-
-  void add(double took) {
-    const double gain = std::max(kGain, 1.0 / ++seen);
-    dev += gain * (std::abs(took - mean) - dev);
-    mean += gain * (took - mean);
-  }
-  Time suspicious() const { return std::max(kSlowLeast, micros(mean + kSlowDevs * dev)); }
-};
-
-// A rate that forgets: events a second over about the last kRateMemory.
-struct Rate {
-  double rate = 0;
-  Time at = 0;
-
-  double per_second(Time now) const { return rate * std::exp(-seconds(now - at) / seconds(kRateMemory)); }
-  void add(Time now) {
-    rate = per_second(now) + 1 / seconds(kRateMemory);
-    at = now;
-  }
-};
-
-// Tokens that refill with time; used to pace sends.
-struct Pacer {
-  double tokens = 0;
-  Time at = 0;
-
-  Time next(Time now, double rate, double burst) {  // when there is a whole one
-    if (now > at) {                                 // it may be set to begin later
-      tokens = std::min(burst, tokens + rate * seconds(now - at));
-      at = now;
-    }
-    if (tokens >= 1) return now;
-    return std::max(now, at) + std::max<Time>(1, micros((1 - tokens) / std::max(rate, 1e-6)));
-  }
-};
-
 struct Attempt {
   Endpoint endpoint;
   Time sent = 0;
@@ -186,7 +126,7 @@
   bool told = false;  // the limit is from a report
   Time moved_at = 0;  // when a report or a refusal last moved the pace
   Time cut_at = 0;    // when the pace was last cut; calls sent before tell nothing new
-  Pacer pacer;
+  TokenBucket pacer;
   double room = 1;         // mean share of the limit that is left, as reported or from refusals
   bool bound = false;      // a message waited for the pace since the last served call
   int streak = 0;          // calls in a row that were not served
@@ -194,12 +134,12 @@
   bool slow = false;       // one of them took long
   Time streak_since = 0;   // when the first of them was sent
   bool suspected = false;  // the outage rests on overdue calls alone
-  Pacer cold;
+  TokenBucket cold;
   int scouts = 0;                                            // out now
   Time last_served_sent = std::numeric_limits<Time>::min();  // when the youngest served call was sent
   bool probe_out = false;
   bool probe_ok = false;
-  Rate served;
+  RateEstimator served;
 };
 
 struct Host {
@@ -208,7 +148,7 @@
   bool suspended = false;  // by hand
   Time back_since = 0;     // when it was put back; 0: long ago
   double base = 0;         // own rate to it before it was taken out
-  Pacer cold;
+  TokenBucket cold;
   bool probe_out = false;
   double lot = 0;  // drawn once: which of equals is tried first, or all relays would try the same
   int calls = 0;
@@ -219,7 +159,7 @@
   Time lost_idle = 0;  // how long the connection of the last call had idled, where that was lost
   int fails = 0;
   Time avoid_until = 0;
-  Latency latency;
+  LatencyEstimator latency;
 
   bool ready() const { return member.listing == Listing::kReady && !suspended; }
   bool gone() const { return member.listing == Listing::kGone; }
@@ -227,18 +167,17 @@
 
 // What is alike among destinations of a kind: the prior for one that this relay seldom calls.
 struct Kind {
-  Latency latency;
+  LatencyEstimator latency;
   double unconnected = 0;  // share of calls that got no connection; falls slowly
 };
 
 struct Destination {
   int kind = 0;
-  int cap = 0;     // of the retry bucket, in parts
-  int tokens = 0;  // in it
+  RetryBudget retry_budget;
   int calls = 0;
   DestinationState remembered;
-  Latency usual;  // the pace without outliers, against which the slot share narrows
-  Latency latency;
+  LatencyEstimator usual;  // the pace without outliers, against which the slot share narrows
+  LatencyEstimator latency;
 };
 
 }  // namespace
@@ -279,7 +218,7 @@
  private:
   void take(Settings settings) {
     if (settings.classes.empty()) throw std::invalid_argument("settings hold no class");
-    if (settings.tenants != set_.tenants) tenant_pacers_.clear();
+    if (settings.tenants != set_.tenants) tenant_quota_.forget_all();
     set_ = std::move(settings);
     longest_ = kSecond;
     for (const ClassSettings& c : set_.classes) longest_ = std::max(longest_, c.max_lifetime);
@@ -301,12 +240,10 @@
 
   void fold(const EndpointListChanged& e) {
     if (e.form == EndpointListChanged::Form::kFailed) {
-      watching_ = false;
-      watch_at_ = now_ + watch_pause_;
-      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, set_.list_poll_interval / 2));
+      list_watch_.on_failed(now_, set_.list_poll_interval);
       return;
     }
-    if (watching_) watch_pause_ = kSecond / 4;
+    list_watch_.on_list_received();
     if (e.form == EndpointListChanged::Form::kFull) {
       for (auto& [id, host] : hosts_) {
         host.member.listing = Listing::kGone;
@@ -328,8 +265,11 @@
     auto [entry, fresh] = destinations_.try_emplace(m.destination);
     Destination& d = entry->second;
     d.kind = m.kind;
-    d.cap = kBucketCap * batch_of(m);
-    if (fresh) d.remembered = {m.destination, d.tokens = d.cap};
+    d.retry_budget.set_cap_for_batch(batch_of(m));
+    if (fresh) {
+      d.retry_budget.fill();
+      d.remembered = {m.destination, d.retry_budget.persisted_parts()};
+    }
     if (set_.weights != Weights::kNone && m.weight > 0 && host.ready() && !host.lane->told) {
       take_limit(*host.lane, m.weight);
     }
@@ -378,7 +318,7 @@
     m.most_attempts = e.max_attempts > 0 ? e.max_attempts : set_.max_attempts;
     const ClassSettings& c = m.rules;
     m.target = e.deadline - c.max_lifetime + c.latency_objective;
-    m.worth = c.priority_weight * tenant_share(e.tenant);
+    m.worth = c.priority_weight * tenant_quota_.weight_share(e.tenant, now_, set_);
     m.repeat = e.attempts > 0;
     m.resumed_ran = e.may_have_run;
     if (c.in_order && e.ordering_key != 0) {
@@ -403,18 +343,6 @@
     attempts_[{m.in.id, m.in.attempts - 1}] = {host.member.endpoint, m.in.in_flight->sent, number};
   }
 
-  // What a tenant sends beyond its quota is worth little; this relay's part of it is taken as an even one.
-  double tenant_share(int tenant) {
-    if (tenant < 0 || tenant >= static_cast<int>(set_.tenants.size())) return 1;
-    const double quota = set_.tenants[tenant].quota_per_s / set_.relay_count;
-    if (quota <= 0) return 1;
-    const double burst = kQuotaSpan * quota + kQuotaChance * std::sqrt(kQuotaSpan * quota);
-    Pacer& pacer = tenant_pacers_.try_emplace(tenant, Pacer{burst, now_}).first->second;
-    if (pacer.next(now_, quota, std::max(1.0, burst)) > now_) return set_.over_quota_weight_share;
-    pacer.tokens -= 1;
-    return 1;
-  }
-
   // Nothing is owed for it any more, but while its call is out it keeps its turn.
   void fold(const MessageWithdrawn& e) {
     const auto it = messages_.find(e.id);
@@ -428,7 +356,7 @@
   void fold(const GossipReceived&) {}
   void fold(const DestinationState& e) {
     Destination& d = destinations_[e.destination];
-    d.tokens = std::max(0, e.retry_tokens);  // the list, with the cap, may come later
+    d.retry_budget.restore(e.retry_tokens);
     d.remembered = e;
     if (e.outage_since == 0 && e.wait_until == 0) return;
     const LaneKey key = {e.destination, Endpoint{}};
@@ -467,11 +395,11 @@
     host.last_used = now_;
     l.scouts -= attempt.scout;
     // The messages of a bundle share one fate: that is one piece of evidence, not one for each.
-    if (e.outcome == Outcome::kOk) d.tokens = std::min(d.cap, d.tokens + 1);
+    if (e.outcome == Outcome::kOk) d.retry_budget.on_served();
     // At a wait's end all relays that were told come back: the random pause keeps them out of step.
     const Time opens = now_ + e.retry_after + set_.tick;
     if (e.retry_after > 0 && l.wait_until < opens) l.wait_until = opens + random_.between(0, kPauseMost);
-    if (e.outcome == Outcome::kOk) l.served.add(now_);
+    if (e.outcome == Outcome::kOk) l.served.add_event(now_);
     if (news) learn(e, attempt, host, l, d);
     if (host.calls == 0 && kinds_[d.kind].unconnected > kFullTable) close_idle(host);
     const auto found = messages_.find(e.id);
@@ -500,15 +428,16 @@
     learn_idle(e.outcome, attempt, host, l);
     // Slow or lost: whether calls past the suspicious age are served after all.
     const bool told = e.outcome == Outcome::kOk || e.outcome == Outcome::kTimeout;
-    if (told && e.latency > latency_of(d).suspicious()) {
-      hope_ += 2 * kGain * ((e.outcome == Outcome::kOk ? 1 : 0) - hope_);
+    if (told && e.latency > latency_of(d).suspicion_age()) {
+      hope_ += 2 * kSampleWeight * ((e.outcome == Outcome::kOk ? 1 : 0) - hope_);
     }
     switch (e.outcome) {
       case Outcome::kOk:
-        host.latency.add(seconds(e.latency));
-        kinds_[d.kind].latency.add(seconds(e.latency));
+        host.latency.add_sample(seconds(e.latency));
+        kinds_[d.kind].latency.add_sample(seconds(e.latency));
         learn_latency(d, e.latency);
-        if (d.usual.seen == 0 || e.latency < micros(4 * d.usual.mean)) d.usual.add(seconds(e.latency));
+        if (!d.usual.has_samples() || e.latency < microseconds(4 * d.usual.mean_seconds()))
+          d.usual.add_sample(seconds(e.latency));
         host.fails = 0;
         host.avoid_until = 0;
         return served(attempt, l);
@@ -557,24 +486,23 @@
       follow_room(l, left);
     }
     if (e.outcome != Outcome::kOk && e.outcome != Outcome::kRejected) return;
-    l.room += 2 * kGain * ((e.outcome == Outcome::kOk ? left : 0) - l.room);
+    l.room += 2 * kSampleWeight * ((e.outcome == Outcome::kOk ? left : 0) - l.room);
   }
 
   void learn_latency(Destination& d, Time took) {
-    if (d.latency.seen == 0) {
-      d.latency = kinds_[d.kind].latency;
-      d.latency.seen = std::min(d.latency.seen, 1);
+    if (!d.latency.has_samples()) {
+      d.latency.start_from(kinds_[d.kind].latency);
     }
-    d.latency.add(seconds(took));
+    d.latency.add_sample(seconds(took));
   }
-  const Latency& latency_of(const Destination& d) {
-    return d.latency.seen > 0 ? d.latency : kinds_[d.kind].latency;
+  const LatencyEstimator& latency_of(const Destination& d) {
+    return d.latency.has_samples() ? d.latency : kinds_[d.kind].latency;
   }
 
   // The age up to which an idle connection is used.
   Time keep() const {
     const double grown = seconds(keep_) * std::exp2(seconds(now_ - keep_at_) / seconds(kKeepRegain));
-    return std::min(set_.connection_idle_timeout, micros(grown));
+    return std::min(set_.connection_idle_timeout, microseconds(grown));
   }
 
   void close_idle(Host& host) {
@@ -591,18 +519,18 @@
       if (host.unconnected++ == 0) host.unconnected_since = now_;
       host.lost_idle = 0;
     } else if (outcome == Outcome::kReset || outcome == Outcome::kTimeout) {
-      if (attempt.idle == 0) lost_ += kGain * (1 - lost_);
+      if (attempt.idle == 0) lost_ += kSampleWeight * (1 - lost_);
       host.lost_idle = attempt.idle;
     } else if (outcome == Outcome::kOk) {
       const int unconnected_calls = std::exchange(host.unconnected, 0);
       const bool up = l.outage_since == 0 && now_ - host.unconnected_since <= kProofSpan;
-      if (up) unconnected += (1 - std::pow(1 - kGain, unconnected_calls)) * (1 - unconnected);
+      if (up) unconnected += (1 - std::pow(1 - kSampleWeight, unconnected_calls)) * (1 - unconnected);
       unconnected *= 1 - kFullTable / 2;
       double& share = attempt.idle == 0 ? lost_ : stale_;
-      share -= kGain * share;
+      share -= kSampleWeight * share;
       const Time idle = std::exchange(host.lost_idle, 0);
       if (idle == 0 || l.outage_since != 0) return;
-      stale_ += kGain * (1 - stale_);
+      stale_ += kSampleWeight * (1 - stale_);
       if (stale_ < lost_ + kStaleAbove) return;
       keep_ = std::min(keep(), std::max(idle / kKeepCut, set_.tick));
       keep_at_ = now_;
@@ -649,7 +577,8 @@
     // A wait longer than a limit's span tells when a shut destination opens: its return begins there.
     if (l.outage_since == 0 && wait > kShutSpan) {
       go_out(l, "told to wait long", false);
-      l.recovering_since = l.cold.at = l.wait_until;
+      l.recovering_since = l.wait_until;
+      l.cold.refill_from(l.wait_until);
     }
   }
 
@@ -673,9 +602,9 @@
     std::map<Lane*, int> overdue;
     for (const auto& [id, attempt] : attempts_) {
       const Host& host = hosts_[attempt.endpoint];
-      const Time suspicious = latency_of(destinations_[host.member.destination]).suspicious();
+      const Time suspicious = latency_of(destinations_[host.member.destination]).suspicion_age();
       Lane& l = *host.lane;
-      if (l.served.at > attempt.sent) continue;
+      if (l.served.last_event_at() > attempt.sent) continue;
       wake(attempt.sent + suspicious);
       if (now_ - attempt.sent < suspicious) continue;
       ++overdue[&l];
@@ -726,7 +655,7 @@
   // Own served rate; for a rare caller mostly the even part of the limit, which is worth one call as a prior.
   double pooled_rate(const Lane& l) const {
     const double even = std::max(l.limit, kBaseLeast) / set_.relay_count;
-    const double memory = seconds(kRateMemory);
+    const double memory = kRateMemorySeconds;
     const double seen = memory * (1 - std::exp(-std::max(1.0, seconds(now_ - started_)) / memory));
     return std::max(even, (l.served.per_second(now_) * memory + 1) / (seen + 1 / even));
   }
@@ -788,7 +717,7 @@
         next.wait_until = l.wait_until > now_ ? l.wait_until : 0;
       }
       next.destination = number;
-      next.retry_tokens = d.tokens - d.tokens % kToken;
+      next.retry_tokens = d.retry_budget.persisted_parts();
       if (next == d.remembered) continue;
       d.remembered = next;
       out_->push_back(PersistDestinationState{next});
@@ -833,7 +762,7 @@
   Time admits(Host& host) {
     if (host.back_since != 0 && now_ - host.back_since >= set_.slow_start_duration) host.back_since = 0;
     if (host.back_since == 0) return now_;
-    return std::min(host.cold.next(now_, cold_rate(host), 1), now_ + kSecond);
+    return std::min(host.cold.next_token_at(now_, cold_rate(host), 1), now_ + kSecond);
   }
 
   // Own part of what a cold destination takes, beside the first calls of the relays that know of no outage.
@@ -858,13 +787,14 @@
     if (l.outage_since != 0) {
       // Without an answer to the last scout another tells little, and would fill the slots.
       if (l.recovering_since == 0 && l.scouts > 0) return kNever;
-      const Time at = l.cold.next(now_, l.recovering_since == 0 ? scout_rate(l) : cold_rate(l), 1);
+      const Time at = l.cold.next_token_at(now_, l.recovering_since == 0 ? scout_rate(l) : cold_rate(l), 1);
       if (at > now_) return std::min(at, now_ + kSecond);
     }
     if (l.pace <= 0) return now_;
-    const bool old = l.told && now_ > m.target - micros((1 - kOld) * seconds(m.rules.latency_objective));
+    const bool old =
+        l.told && now_ > m.target - microseconds((1 - kOld) * seconds(m.rules.latency_objective));
     const double pace = old ? std::min(l.pace, (kShareOld + kShareRoom * l.left) * share(l)) : l.pace;
-    const Time at = l.pacer.next(now_, pace, std::max(1.0, kLimitBurst * l.pace));
+    const Time at = l.pacer.next_token_at(now_, pace, std::max(1.0, kLimitBurst * l.pace));
     l.bound = l.bound || at > now_;
     return at;
   }
@@ -877,8 +807,8 @@
     if (!l.probe_out) {
       out_->push_back(SendHealthCheck{host.member.endpoint});
       l.probe_out = host.probe_out = true;
-      l.cold.tokens -= 1;
-      l.pacer.tokens -= 1;
+      l.cold.take(1);
+      l.pacer.take(1);
     }
     return false;
   }
@@ -941,7 +871,7 @@
     for (const auto& [endpoint, host] : by_destination_[m.in.destination]) {
       const Lane& l = *host->lane;
       if (!host->ready() || (l.outage_since != 0 && l.recovering_since == 0)) continue;
-      const Time turn = l.pace > 0 ? micros(1 / l.pace) : 0;
+      const Time turn = l.pace > 0 ? microseconds(1 / l.pace) : 0;
       soonest = std::min(soonest, std::max(l.wait_until - now_, turn));
     }
     const Time after = std::clamp(soonest, kRetryLeast, kRetryMost) + random_.between(0, kPauseMost);
@@ -1006,8 +936,8 @@
       if (m.out) continue;
       wake(m.not_before);
       if (m.not_before > now_ || !by_destination_.contains(m.in.destination) || !has_turn(m)) continue;
-      const double latency = latency_of(destinations_[m.in.destination]).mean;
-      list.push_back({-worth_at(m, now_ + micros(latency)) / std::max(0.01, latency), m.target, id});
+      const double latency = latency_of(destinations_[m.in.destination]).mean_seconds();
+      list.push_back({-worth_at(m, now_ + microseconds(latency)) / std::max(0.01, latency), m.target, id});
     }
     std::sort(list.begin(), list.end());
     return list;
@@ -1015,7 +945,10 @@
 
   // The design's slot share, narrowed while calls run longer than is usual at this destination.
   int slot_share(const Destination& d) const {
-    const double usual = d.usual.seen == 0 ? 1 : std::min(1.0, d.usual.mean / std::max(1e-6, d.latency.mean));
+    const double usual =
+        !d.usual.has_samples()
+            ? 1
+            : std::min(1.0, d.usual.mean_seconds() / std::max(1e-6, d.latency.mean_seconds()));
     const double share = std::max(kSlotShareLeast, kSlotShare * usual);
     return std::max(1, static_cast<int>(std::ceil(set_.max_concurrent_calls * share)));
   }
@@ -1048,7 +981,7 @@
       const auto message = messages_.find(id.first);
       if (attempt.cancelled || message == messages_.end()) continue;
       const Host& host = hosts_[attempt.endpoint];
-      const Time suspicious = latency_of(destinations_[host.member.destination]).suspicious();
+      const Time suspicious = latency_of(destinations_[host.member.destination]).suspicion_age();
       if (seconds(now_ - attempt.sent) < patience(message->second) * seconds(suspicious)) continue;
       attempt.cancelled = true;
       out_->push_back(Cancel{id.first, id.second});
@@ -1056,8 +989,8 @@
   }
 
   void try_send(Message& m, Destination& d, const std::vector<Candidate>& waiting) {
-    if (m.repeat && d.tokens < kToken) return;
-    if (closing_ - now_ < latency_of(d).suspicious()) return;
+    if (m.repeat && !d.retry_budget.can_retry()) return;
+    if (closing_ - now_ < latency_of(d).suspicion_age()) return;
     Host* host = choose(m);
     if (host == nullptr || !may_scout(*host->lane, *host)) return;
     start_call(d, *host);
@@ -1070,11 +1003,11 @@
     const double debt = l.outage_since == 0 ? 0 : credit * cold_rate(l);
     const double own_debt = host->back_since == 0 ? 0 : credit * cold_rate(*host);
     for (const Candidate& c : waiting) {
-      if (room <= 0 || (l.outage_since != 0 && l.cold.tokens < kBundleWork - debt)) return;
-      if (host->back_since != 0 && host->cold.tokens < kBundleWork - own_debt) return;
+      if (room <= 0 || (l.outage_since != 0 && l.cold.tokens() < kBundleWork - debt)) return;
+      if (host->back_since != 0 && host->cold.tokens() < kBundleWork - own_debt) return;
       Message& other = messages_.at(std::get<2>(c));
       if (other.out || other.in.destination != m.in.destination) continue;
-      if ((other.repeat && d.tokens < kToken) || !in_scope(other, *host)) continue;
+      if ((other.repeat && !d.retry_budget.can_retry()) || !in_scope(other, *host)) continue;
       send(other, d, *host);
       --room;
     }
@@ -1113,9 +1046,10 @@
   }
 
   double cost_of(const Host& host) {
-    const Latency& latency =
-        host.latency.seen > 0 ? host.latency : latency_of(destinations_[host.member.destination]);
-    double cost = latency.mean * (1 + 0.5 * host.calls) / std::max(0.1, host.lane->room) + kLot * host.lot;
+    const LatencyEstimator& latency =
+        host.latency.has_samples() ? host.latency : latency_of(destinations_[host.member.destination]);
+    double cost =
+        latency.mean_seconds() * (1 + 0.5 * host.calls) / std::max(0.1, host.lane->room) + kLot * host.lot;
     if (host.member.zone != set_.zone) cost += kSecondsPerPrice * set_.cost_cross_zone;
     if (needs_conn(host)) cost += kSecondsPerPrice * set_.cost_handshake;
     if (host.avoid_until > now_) cost += seconds(kAvoidMost);
@@ -1136,7 +1070,7 @@
     calls_[++last_call_] = {};
     ++host.calls;
     ++d.calls;
-    host.lane->pacer.tokens -= 1;  // where no pace holds it begins anew with the first
+    host.lane->pacer.take(1);  // where no pace holds it begins anew with the first
   }
 
   void send(Message& m, Destination& d, Host& host) {
@@ -1144,27 +1078,27 @@
     const bool scout = l.outage_since != 0 && l.recovering_since == 0;
     l.scouts += scout;
     const double work = calls_[last_call_].left == 0 ? 1 : kBundleWork;
-    if (l.outage_since != 0) l.cold.tokens -= work;
-    if (host.back_since != 0) host.cold.tokens -= work;
-    if (m.repeat) d.tokens -= kToken;
+    if (l.outage_since != 0) l.cold.take(work);
+    if (host.back_since != 0) host.cold.take(work);
+    if (m.repeat) d.retry_budget.pay_retry();
     m.repeat = false;
     m.out = true;
     ++calls_[last_call_].left;
     attempts_[{m.in.id, m.in.attempts++}] = {host.member.endpoint, now_, last_call_, false, scout, idle_};
     // No call keeps its slot for the whole life of its message: lost answers would fill the slots one by one.
-    const double longest = std::max(1.0, kTimeoutTimes * seconds(latency_of(d).suspicious()));
+    const double longest = std::max(1.0, kTimeoutTimes * seconds(latency_of(d).suspicion_age()));
     SendAttempt out{m.in.id, host.member.endpoint,
-                    std::min(m.in.deadline - now_, micros(patience(m) * longest))};
+                    std::min(m.in.deadline - now_, microseconds(patience(m) * longest))};
     const bool window = m.in.may_have_run && m.rules.idempotency == Idempotency::kIdempotentWithKey;
     if (window) out.latest_start = window_end(m);
     out_->push_back(out);
   }
 
   void keep_watching() {
-    if (!set_.list_needs_watch || watching_) return;
-    if (now_ < watch_at_) return wake(watch_at_);
+    if (!set_.list_needs_watch || list_watch_.is_open()) return;
+    if (now_ < list_watch_.open_at()) return wake(list_watch_.open_at());
     out_->push_back(OpenListWatch{});
-    watching_ = true;
+    list_watch_.on_opened();
   }
 
   void wake(Time at) {
@@ -1186,9 +1120,7 @@
   Time armed_ = kNever;
   Time closing_ = kNever;   // when this process ends
   Time longest_ = kSecond;  // life of the longest-lived class
-  bool watching_ = false;
-  Time watch_at_ = std::numeric_limits<Time>::min();
-  Time watch_pause_ = kSecond / 4;
+  ListWatch list_watch_;
   uint64_t last_call_ = 0;
   double stale_ = 0;  // share of calls on idle connections that broke or got no answer
   double lost_ = 0;   // and of calls on fresh ones
@@ -1206,7 +1138,7 @@
   std::map<int, Destination> destinations_;
   std::map<LaneKey, Lane> lanes_;
   std::map<LaneKey, Lane*> watched_;  // in an outage, or with calls failed or overdue: judged in each step
-  std::map<int, Pacer> tenant_pacers_;
+  TenantQuota tenant_quota_;
   std::map<uint64_t, std::vector<uint64_t>> turns_;
   std::map<uint64_t, std::tuple<Time, uint64_t, uint64_t>> key_rests_;  // until, after whom, its call
 };
--- /dev/null
+++ b/policy/retry_budget.h
@@ -0,0 +1,28 @@
+// Bounds retries to a destination: each served call earns a tenth of a token, and each retry pays a whole
+// one, so retries stay below a tenth of the traffic when failures are common.
+//
+// Invariant: the balance never exceeds the cap once the cap is known.
+#pragma once
+
+namespace turntally::policy {
+
+class RetryBudget {
+ public:
+  // The cap grows with the number of messages that may travel in one call.
+  void set_cap_for_batch(int max_batch_size);
+  void fill() { parts_ = cap_; }
+
+  // Restores a balance from `persisted_parts()`.
+  void restore(int parts);
+  int persisted_parts() const;
+
+  void on_served();
+  bool can_retry() const;
+  void pay_retry();
+
+ private:
+  int cap_ = 0;    // in tenths of a token
+  int parts_ = 0;  // in tenths of a token
+};
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/time.h
@@ -0,0 +1,23 @@
+// Units of time, and the conversion between the clock's microseconds and seconds.
+#pragma once
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+#include "turntally/policy.h"
+
+namespace turntally::policy {
+
+constexpr Time kMillisecond = 1000;
+constexpr Time kSecond = 1000 * kMillisecond;
+constexpr Time kNever = std::numeric_limits<Time>::max();
+
+inline double seconds(Time microseconds) { return static_cast<double>(microseconds) / 1e6; }
+
+// Rounded up; spans above 1e9 seconds are cut to that.
+inline Time microseconds(double seconds) {
+  return static_cast<Time>(std::ceil(std::min(seconds, 1e9) * 1e6));
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/token_bucket.h
@@ -0,0 +1,28 @@
+// A token bucket: tokens refill with time up to a burst, and each send takes one.
+//
+// Rates are in tokens a second. The balance may be negative: then the next whole token comes later.
+#pragma once
+
+#include "turntally/policy.h"
+
+namespace turntally::policy {
+
+class TokenBucket {
+ public:
+  TokenBucket() = default;
+  // `refilled_at` may lie in the future: no token is added before it.
+  TokenBucket(double tokens, Time refilled_at) : tokens_(tokens), refilled_at_(refilled_at) {}
+
+  // Refills the bucket up to `now` and returns when it holds a whole token: `now` or later.
+  Time next_token_at(Time now, double rate, double burst);
+
+  void take(double tokens) { tokens_ -= tokens; }
+  double tokens() const { return tokens_; }
+  void refill_from(Time at) { refilled_at_ = at; }
+
+ private:
+  double tokens_ = 0;
+  Time refilled_at_ = 0;
+};
+
+}  // namespace turntally::policy
