--- /dev/null
+++ b/policy/attempt_outcome.cpp
@@ -0,0 +1,145 @@
+// What the end of an attempt says about its message, endpoint, route and destination.
+#include <algorithm>
+
+#include "policy/idempotency.h"
+#include "policy/policy_impl.h"
+
+namespace turntally::policy {
+namespace {
+
+// The call may still be running, or have run, at the endpoint.
+bool has_unknown_outcome(Outcome outcome) {
+  return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled ||
+         outcome == Outcome::kMalformedResponse;
+}
+
+// The endpoint did not begin to run the call.
+bool did_not_run(Outcome outcome) {
+  return outcome == Outcome::kNotStarted || outcome == Outcome::kRejected ||
+         outcome == Outcome::kConnectFailed;
+}
+
+}  // namespace
+
+void Policy::Impl::handle(const AttemptEnded& event) {
+  const auto found = attempts_.find({event.id, event.attempt});
+  if (found == attempts_.end()) return;
+  const Attempt attempt = found->second;
+  attempts_.erase(found);
+  EndpointState& endpoint = directory_.at(attempt.endpoint);
+  Destination& destination = destinations_.get_or_add(endpoint.info.destination);
+  const EndedCall ended{event, attempt, endpoint, *endpoint.route, destination};
+  const bool is_new_evidence = end_call(ended);
+  if (is_new_evidence) learn_from(ended);
+  if (endpoint.calls == 0 && idle_connections_.connection_tables_full(destination.kind))
+    close_idle_connections(endpoint);
+  const auto message = messages_.find(event.id);
+  if (message != messages_.end()) continue_message(message->second, ended);
+}
+
+// Counts the attempt; whether its outcome is evidence that the others of its batch have not given yet.
+bool Policy::Impl::end_call(const EndedCall& ended) {
+  const AttemptEnded& event = ended.event;
+  const bool is_new_evidence = calls_.is_new_evidence(ended.attempt.call, event.outcome);
+  if (calls_.end_message(ended.attempt.call)) {
+    --ended.endpoint.calls;
+    ended.destination.concurrency_limit.on_call_ended();
+  }
+  ended.endpoint.connections.last_used = now_;
+  if (ended.attempt.is_trial) ended.route.trial_calls.on_trial_ended();
+  if (event.outcome == Outcome::kOk) ended.destination.retry_budget.on_served();
+  // All relays that got the same retry-after come back at its end: the pause keeps them out of step.
+  const Time opens = now_ + event.retry_after + settings_.tick;
+  if (event.retry_after > 0 && ended.route.blocked_until() < opens)
+    ended.route.block_until(opens + random_.between(0, kMaxRandomPause));
+  if (event.outcome == Outcome::kOk) ended.route.served.add_event(now_);
+  return is_new_evidence;
+}
+
+void Policy::Impl::learn_from(const EndedCall& ended) {
+  const AttemptEnded& event = ended.event;
+  const LoadReport report = read_load_report(event.load_report, settings_);
+  const bool is_served = event.outcome == Outcome::kOk;
+  ended.route.rate_limiter.on_load_report(report, context());
+  if (is_served || event.outcome == Outcome::kRejected)
+    ended.route.rate_limiter.update_headroom(is_served, report.limit_remaining);
+  const IdleConnections::CallResult result = {event.outcome, ended.attempt.connection_idle,
+                                              ended.endpoint.info.kind, ended.route.outage().in_outage()};
+  idle_connections_.learn(result, ended.endpoint.connections, now_, settings_);
+  const bool is_late = event.latency > destinations_.latency_of(ended.destination).suspicion_age();
+  if (is_late && (is_served || event.outcome == Outcome::kTimeout))
+    call_timeout_.on_late_call_ended(is_served);
+  switch (event.outcome) {
+    case Outcome::kOk:
+      return learn_from_success(ended);
+    case Outcome::kRejected:
+      return learn_from_rejection(ended, report);
+    case Outcome::kError:
+    case Outcome::kReset:
+    case Outcome::kTimeout:
+    case Outcome::kConnectFailed:
+      return learn_from_failure(ended);
+    case Outcome::kCancelled:
+    case Outcome::kNotStarted:
+    case Outcome::kMalformedResponse:  // says nothing about the endpoint's health
+      return;
+  }
+}
+
+void Policy::Impl::learn_from_success(const EndedCall& ended) {
+  const Time latency = ended.event.latency;
+  ended.endpoint.latency.add_sample(seconds(latency));
+  destinations_.add_kind_latency_sample(ended.destination.kind, latency);
+  destinations_.add_latency_sample(ended.destination, latency);
+  ended.destination.concurrency_limit.on_served(latency);
+  ended.endpoint.ejection.on_served();
+  ended.route.on_served(ended.attempt.sent, context(), *actions_);
+}
+
+void Policy::Impl::learn_from_rejection(const EndedCall& ended, const LoadReport& report) {
+  Route& route = ended.route;
+  const Time retry_after = ended.event.retry_after;
+  // A limit that is used up explains the rejection, and gives the rate.
+  if (retry_after <= kMaxLimitSpan && RateLimiter::is_limit_exhausted(report)) {
+    route.rate_limiter.on_limit_exhausted(route.blocked_until(), context());
+    return;
+  }
+  route.decrease_rate(ended.attempt.sent, context());
+  directory_.observe(route);
+  route.on_failure({ended.attempt.sent, false, retry_after}, context(), *actions_);
+}
+
+void Policy::Impl::learn_from_failure(const EndedCall& ended) {
+  const AttemptEnded& event = ended.event;
+  // Lost answers are no sign of slowness: a timeout is a sample only where late calls are served.
+  const bool may_be_slow = event.outcome == Outcome::kTimeout && !call_timeout_.late_calls_are_lost();
+  if (may_be_slow && ended.route.outage_detector().newest_served_sent() < ended.attempt.sent)
+    destinations_.add_latency_sample(ended.destination, event.latency);
+  if (event.outcome != Outcome::kError) {
+    ended.endpoint.ejection.on_failure(now_);
+    ended.endpoint.connections.open = 0;
+  }
+  directory_.observe(ended.route);
+  ended.route.on_failure({ended.attempt.sent, true, 0}, context(), *actions_);
+}
+
+void Policy::Impl::continue_message(Message& message, const EndedCall& ended) {
+  const AttemptEnded& event = ended.event;
+  message.in_flight = false;
+  if (message.terms.in_order && has_unknown_outcome(event.outcome)) {
+    message_ordering_.hold_after_call(message.arrival.ordering_key, now_ + settings_.ordering_pause,
+                                      message.id(), ended.attempt.call);
+  }
+  if (event.final || message.withdrawn) return finish(message.id());
+  const bool not_started = event.outcome == Outcome::kNotStarted;
+  if (not_started && event.call_started) return;
+  if (!event.call_started) ++message.max_attempts;  // no call was made: it may still have this attempt
+  message.is_retry = !not_started;
+  message.not_before = now_ + random_.between(kMinRandomPause, kMaxRandomPause);
+  if (did_not_run(event.outcome) || message.arrival.may_have_run) return;
+  message.arrival.may_have_run = true;
+  message.arrival.possibly_run_since = ended.attempt.sent;
+  message.arrival.possibly_run_zone = ended.endpoint.info.zone;
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/call_timeout.h
@@ -0,0 +1,32 @@
+// Decides how long to wait for a call, and whether to cancel calls that are late.
+//
+// A call is late once it is older than its destination's suspicion age. Whether waiting pays is learnt from
+// the share of late calls that are served after all.
+#pragma once
+
+#include "policy/message.h"
+#include "policy/time.h"
+
+namespace turntally::policy {
+
+class CallTimeout {
+ public:
+  void on_late_call_ended(bool served);
+
+  // Whether late calls proved lost rather than slow.
+  bool late_calls_are_lost() const;
+
+  // The timeout of an attempt that starts now, in microseconds. It is below the message's lifetime, since
+  // lost answers would otherwise fill the slots one by one.
+  static Time timeout(const Message& message, Time now, Time suspicion_age);
+
+  // Whether the attempt is so late that it may be cancelled to free its slot.
+  static bool may_cancel(const Message& message, Time age, Time suspicion_age);
+
+ private:
+  static constexpr double kMinLateSuccessShare = 0.35;
+
+  double late_success_share_ = 2 * kMinLateSuccessShare;
+};
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/calls_in_flight.cpp
@@ -0,0 +1,42 @@
+#include "policy/calls_in_flight.h"
+
+namespace turntally::policy {
+namespace {
+
+constexpr uint64_t kPreviousProcessBit = uint64_t{1} << 63;
+
+}  // namespace
+
+uint64_t CallsInFlight::begin() {
+  calls_[++last_call_] = {};
+  return last_call_;
+}
+
+void CallsInFlight::add_message(uint64_t call) { ++calls_.at(call).messages; }
+
+uint64_t CallsInFlight::number_of_resumed(uint64_t call_of_previous_process) {
+  return kPreviousProcessBit | call_of_previous_process;
+}
+
+bool CallsInFlight::resume(uint64_t call_of_previous_process) {
+  const auto [call, is_new] = calls_.try_emplace(number_of_resumed(call_of_previous_process));
+  ++call->second.messages;
+  return is_new;
+}
+
+bool CallsInFlight::is_new_evidence(uint64_t call, Outcome outcome) {
+  unsigned& seen = calls_.at(call).seen_outcomes;
+  const unsigned bit = 1U << static_cast<unsigned>(outcome);
+  const bool is_new = (seen & bit) == 0;
+  seen |= bit;
+  return is_new;
+}
+
+bool CallsInFlight::end_message(uint64_t call) {
+  const auto found = calls_.find(call);
+  if (--found->second.messages > 0) return false;
+  calls_.erase(found);
+  return true;
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/calls_in_flight.h
@@ -0,0 +1,59 @@
+// The calls in flight. One call carries one message or a batch of them; each message has its own attempt.
+//
+// Invariant: a call exists as long as a message in it has no outcome.
+#pragma once
+
+#include <compare>
+#include <cstdint>
+#include <map>
+
+#include "turntally/policy.h"
+
+namespace turntally::policy {
+
+struct AttemptKey {
+  uint64_t message = 0;
+  int attempt = 0;  // from 0
+  auto operator<=>(const AttemptKey&) const = default;
+};
+
+struct Attempt {
+  Endpoint endpoint;
+  Time sent = 0;
+  uint64_t call = 0;
+  bool cancelled = false;
+  bool is_trial = false;     // looks for the end of an outage
+  Time connection_idle = 0;  // how long its connection had been idle; 0: fresh or busy
+};
+
+class CallsInFlight {
+ public:
+  // Starts an empty call and returns its number.
+  uint64_t begin();
+  void add_message(uint64_t call);
+
+  // Adds a message to a call that the previous process made; whether the call is new here.
+  bool resume(uint64_t call_of_previous_process);
+  static uint64_t number_of_resumed(uint64_t call_of_previous_process);
+
+  // Whether this is the first such outcome of the call. The messages of a batch share one fate: that is one
+  // piece of evidence.
+  bool is_new_evidence(uint64_t call, Outcome outcome);
+  // Removes one message; whether the call is over.
+  bool end_message(uint64_t call);
+
+  bool contains(uint64_t call) const { return calls_.contains(call); }
+  bool is_empty(uint64_t call) const { return calls_.at(call).messages == 0; }
+  int size() const { return static_cast<int>(calls_.size()); }
+
+ private:
+  struct Call {
+    int messages = 0;            // without an outcome
+    unsigned seen_outcomes = 0;  // one bit for each Outcome
+  };
+
+  uint64_t last_call_ = 0;
+  std::map<uint64_t, Call> calls_;
+};
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/endpoint_directory.cpp
@@ -0,0 +1,86 @@
+#include "policy/endpoint_directory.h"
+
+#include <algorithm>
+
+namespace turntally::policy {
+
+int max_batch_size(const Settings& settings, int kind) {
+  return kind < static_cast<int>(settings.kinds.size()) ? settings.kinds[kind].max_batch_size : 1;
+}
+
+bool has_independent_endpoints(const Settings& settings, int kind) {
+  return kind < static_cast<int>(settings.kinds.size()) && settings.kinds[kind].independent_endpoints;
+}
+
+EndpointState& EndpointDirectory::add_or_update(const EndpointInfo& info, const StepContext& context) {
+  const auto [place, is_new] = endpoints_.try_emplace(info.endpoint);
+  EndpointState& endpoint = place->second;
+  if (is_new) endpoint.tie_breaker = seconds(context.random.between(0, kSecond));
+  endpoint.info = info;
+  const bool independent = has_independent_endpoints(context.settings, info.kind);
+  endpoint.route = &get_or_add_route({info.destination, independent ? info.endpoint : Endpoint{}});
+  if (endpoint.is_gone()) gone_.insert(info.endpoint);
+  by_destination_[info.destination][info.endpoint] = &endpoint;
+  return endpoint;
+}
+
+void EndpointDirectory::mark_all_gone() {
+  for (auto& [address, endpoint] : endpoints_) {
+    endpoint.info.listing = Listing::kGone;
+    gone_.insert(address);
+  }
+}
+
+void EndpointDirectory::remove_gone() {
+  std::erase_if(gone_, [this](const Endpoint& address) {
+    const EndpointState& endpoint = endpoints_.at(address);
+    if (!endpoint.is_gone()) return true;
+    if (endpoint.calls > 0 || endpoint.health_check_in_flight) return false;
+    by_destination_[endpoint.info.destination].erase(address);
+    if (const RouteKey key = endpoint.route->key; key.is_one_endpoint()) {
+      observed_routes_.erase(key);
+      routes_.erase(key);
+    }
+    endpoints_.erase(address);
+    return true;
+  });
+}
+
+EndpointState* EndpointDirectory::find(const Endpoint& endpoint) {
+  const auto found = endpoints_.find(endpoint);
+  return found == endpoints_.end() ? nullptr : &found->second;
+}
+
+const EndpointDirectory::DestinationEndpoints* EndpointDirectory::find_destination(int destination) const {
+  const auto found = by_destination_.find(destination);
+  return found == by_destination_.end() ? nullptr : &found->second;
+}
+
+Route& EndpointDirectory::get_or_add_route(const RouteKey& key) {
+  Route& route = routes_[key];
+  route.key = key;
+  return route;
+}
+
+const Route* EndpointDirectory::find_route(const RouteKey& key) const {
+  const auto found = routes_.find(key);
+  return found == routes_.end() ? nullptr : &found->second;
+}
+
+ptrdiff_t EndpointDirectory::count_ready(const Route& route) const {
+  const DestinationEndpoints& endpoints = by_destination_.at(route.key.destination);
+  return std::count_if(endpoints.begin(), endpoints.end(), [&route](const auto& entry) {
+    return entry.second->is_ready() && entry.second->route == &route;
+  });
+}
+
+size_t EndpointDirectory::count_ejected(Time now) const {
+  return static_cast<size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [now](const auto& entry) {
+    const EndpointState& endpoint = entry.second;
+    if (endpoint.suspended) return !endpoint.is_gone();
+    return endpoint.is_ready() &&
+           (endpoint.ejection.is_ejected(now) || endpoint.route->outage().needs_trial());
+  }));
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/final_answers.cpp
@@ -0,0 +1,87 @@
+// The end of messages: those that cannot be delivered, and those that are shed.
+#include <algorithm>
+
+#include "policy/idempotency.h"
+#include "policy/load_shedder.h"
+#include "policy/policy_impl.h"
+
+namespace turntally::policy {
+namespace {
+
+// What a rejected client is asked to wait at least and at most, before the random pause.
+constexpr Time kMinClientRetryAfter = 300 * kMillisecond;
+constexpr Time kMaxClientRetryAfter = 1500 * kMillisecond;
+
+}  // namespace
+
+void Policy::Impl::finish_undeliverable() {
+  for (auto it = messages_.begin(); it != messages_.end();) {
+    const Message& message = it->second;
+    ++it;  // the message may be erased
+    if (message.in_flight) continue;
+    const uint64_t id = message.id();
+    const Time last = last_start(message, settings_.tick);
+    if (!no_attempt_allowed(message, now_, settings_.tick) && now_ < last &&
+        !is_blocked_past_deadline(message)) {
+      wake_at(last);
+    } else if (safe_to_reject(message)) {
+      finish(id, Reject{id, client_retry_after(message)});
+    } else {
+      finish(id, Fail{id});
+    }
+  }
+}
+
+void Policy::Impl::shed_load() {
+  const size_t excess = excess_messages(messages_.size(), settings_.max_pending_messages);
+  if (excess == 0) return;
+  std::vector<SheddableMessage> candidates;
+  for (const auto& [id, message] : messages_) {
+    if (message.in_flight || !safe_to_reject(message)) continue;
+    candidates.push_back({weight_at(message, now_, settings_.late_weight_halves), id});
+  }
+  for (const uint64_t id : messages_to_shed(std::move(candidates), excess))
+    finish(id, Reject{id, client_retry_after(messages_.at(id))});
+}
+
+void Policy::Impl::finish(uint64_t id, const std::optional<Action>& answer) {
+  const auto found = messages_.find(id);
+  if (found == messages_.end()) return;
+  const Message& message = found->second;
+  if (message.is_ordered()) {
+    const uint64_t key = message.arrival.ordering_key;
+    message_ordering_.remove(key, id);
+    // The next call must not be there ahead of the answer.
+    if (answer) message_ordering_.hold_until(key, now_ + kMaxRandomPause);
+  }
+  if (answer) actions_->push_back(*answer);
+  messages_.erase(found);
+}
+
+// Whether retry-after times block every route for as long as the message lives.
+bool Policy::Impl::is_blocked_past_deadline(const Message& message) const {
+  const auto* endpoints = directory_.find_destination(message.arrival.destination);
+  if (endpoints == nullptr) return false;
+  Time opens = kNever;
+  for (const auto& [address, endpoint] : *endpoints) {
+    if (endpoint->is_ready()) opens = std::min(opens, endpoint->route->blocked_until());
+  }
+  return opens != kNever && opens >= last_start(message, settings_.tick);
+}
+
+// When a client's retry has a chance again: after a retry-after, or a turn at the send rate. Random, so that
+// what was rejected together does not come back together.
+Time Policy::Impl::client_retry_after(const Message& message) {
+  Time soonest = kMaxClientRetryAfter;
+  for (const auto& [address, endpoint] : directory_.of_destination(message.arrival.destination)) {
+    const Route& route = *endpoint->route;
+    if (!endpoint->is_ready() || route.outage().needs_trial()) continue;
+    const Time wait = std::max(route.blocked_until() - now_, route.rate_limiter.send_interval());
+    soonest = std::min(soonest, wait);
+  }
+  const Time after =
+      std::clamp(soonest, kMinClientRetryAfter, kMaxClientRetryAfter) + random_.between(0, kMaxRandomPause);
+  return settings_.max_retry_after > 0 ? std::min(after, settings_.max_retry_after) : after;
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/idempotency.cpp
@@ -0,0 +1,43 @@
+#include "policy/idempotency.h"
+
+#include "policy/time.h"
+
+namespace turntally::policy {
+namespace {
+
+// A process may be delayed by so much between reading its clock and writing.
+constexpr Time kWindowMargin = 150 * kMillisecond;
+
+}  // namespace
+
+bool safe_to_reject(const Message& message) {
+  const ClassSettings& terms = message.terms;
+  if (terms.idempotency == Idempotency::kIdempotent || !message.arrival.may_have_run) return true;
+  // Its outcome is unknown: a client's retry might come after the deduplication window.
+  if (message.may_have_run_before_restart) return false;
+  return terms.idempotency == Idempotency::kIdempotentWithKey &&
+         terms.deduplication_scope == DeduplicationScope::kAll;
+}
+
+bool no_attempt_allowed(const Message& message, Time now, Time tick) {
+  if (message.arrival.attempts >= message.max_attempts) return true;
+  if (!message.arrival.may_have_run) return false;
+  if (message.terms.idempotency == Idempotency::kNonIdempotent) return true;
+  return needs_deduplication(message) && now >= deduplication_window_end(message, tick);
+}
+
+Time deduplication_window_end(const Message& message, Time tick) {
+  return message.arrival.possibly_run_since + message.terms.deduplication_window - tick - kWindowMargin;
+}
+
+bool needs_deduplication(const Message& message) {
+  return message.arrival.may_have_run && message.terms.idempotency == Idempotency::kIdempotentWithKey;
+}
+
+bool endpoint_deduplicates(const Message& message, int zone) {
+  if (!needs_deduplication(message)) return true;
+  return message.terms.deduplication_scope != DeduplicationScope::kZone ||
+         zone == message.arrival.possibly_run_zone;
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/load_shedder.cpp
@@ -0,0 +1,27 @@
+#include "policy/load_shedder.h"
+
+#include <algorithm>
+
+namespace turntally::policy {
+namespace {
+
+constexpr double kShedAboveShare = 0.9;  // of the messages that may be pending
+
+}  // namespace
+
+size_t excess_messages(size_t pending, int max_pending) {
+  const auto allowed = static_cast<size_t>(std::max(1.0, kShedAboveShare * max_pending));
+  return pending > allowed ? pending - allowed : 0;
+}
+
+std::vector<uint64_t> messages_to_shed(std::vector<SheddableMessage> candidates, size_t excess) {
+  std::sort(candidates.begin(), candidates.end());
+  std::vector<uint64_t> ids;
+  for (const SheddableMessage& candidate : candidates) {
+    if (ids.size() >= excess) break;
+    ids.push_back(candidate.id);
+  }
+  return ids;
+}
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/outlier_ejection.h
@@ -0,0 +1,24 @@
+// Decides for how long a failing endpoint is passed over: a second, doubled with each further failure.
+#pragma once
+
+#include "policy/time.h"
+
+namespace turntally::policy {
+
+constexpr Time kMaxEjection = 8 * kSecond;
+
+class OutlierEjection {
+ public:
+  void on_served();
+  void on_failure(Time now);
+  // Ends the ejection; earlier failures still count.
+  void readmit() { ejected_until_ = 0; }
+
+  bool is_ejected(Time now) const { return ejected_until_ > now; }
+
+ private:
+  int consecutive_failures_ = 0;
+  Time ejected_until_ = 0;
+};
+
+}  // namespace turntally::policy
--- /dev/null
+++ b/policy/route.cpp
@@ -0,0 +1,126 @@
+#include "policy/route.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace turntally::policy {
+namespace {
+
+constexpr double kMinAssumedRate = 1.2;  // calls a second of all relays together, where none was served
+constexpr double kMinObservedSeconds = 1;
+
+const char* log_text(OutageDetector::Change change) {
+  switch (change) {
+    case OutageDetector::Change::kWasOnlySlow:
+      return "only slow";
+    case OutageDetector::Change::kRecovering:
+      return "back, cold";
+    case OutageDetector::Change::kFailsAgain:
+      return "fails again";
+    case OutageDetector::Change::kWarmedUp:
+      return "warm";
+    case OutageDetector::Change::kNone:
+      break;
+  }
+  return "";
+}
+
+}  // namespace
+
+void Route::on_served(Time sent, const StepContext& context, std::vector<Action>& actions) {
+  trial_calls.forget_health_check();
+  rate_limiter.on_served(context);
+  log_change(outage_detector_.on_served(sent, context.now), actions);
+}
+
+void Route::on_failure(const FailedCall& call, const StepContext& context, std::vector<Action>& actions) {
+  if (outage_detector_.is_outdated(call.sent)) return;
+  log_change(outage_detector_.on_failure(call.sent, call.definite, context.now), actions);
+  // A retry-after longer than a limit's span says when a closed destination opens: its recovery begins then.
+  if (outage().in_outage() || call.retry_after <= kMaxLimitSpan) return;
+  begin_outage({"told to wait long"}, context, actions);
+  outage_detector_.recover_from(blocked_until_);
+  slow_start.refill_from(blocked_until_);
+}
+
+void Route::decrease_rate(Time sent, const StepContext& context) {
+  RateLimiter::Rejection rejection;
+  rejection.sent = sent;
+  rejection.blocked_until = blocked_until_;
+  rejection.own_rate = own_rate(context);
+  rejection.first_in_row = !outage_detector_.has_failures();
+  rejection.fleet_too_large = fleet_exceeds_trial_budget(rejection.own_rate, context.settings);
+  rate_limiter.decrease_rate(rejection, context);
+}
+
+bool Route::detect_outage(int overdue_calls, bool no_endpoint_ready, const StepContext& context,
+                          std::vector<Action>& actions) {
+  if (outage().in_outage()) {
+    log_change(outage_detector_.end_if_warmed_up(context.now, context.settings.slow_start_duration), actions);
+    return true;
+  }
+  OutageDetector::Observation observation;
+  observation.overdue_calls = overdue_calls;
+  observation.no_endpoint_ready = no_endpoint_ready;
+  observation.fleet_exceeds_trial_budget = outage_detector_.has_unanswered_call() &&
+                                           fleet_exceeds_trial_budget(own_rate(context), context.settings);
+  const auto evidence = outage_detector_.detect(observation, context.now);
+  if (evidence) begin_outage(*evidence, context, actions);
+  return outage_detector_.has_failures() || overdue_calls > 0;
+}
+
+Time Route::next_send_at(const Message& message, const StepContext& context) {
+  if (blocked_until_ > context.now) return blocked_until_;
+  if (outage().in_outage()) {
+    // Without an answer to the last trial call another says little, and would fill the slots.
+    if (outage().needs_trial() && trial_calls.has_call_in_flight()) return kNever;
+    const Time at = slow_start.next_send_at(outage(), context);
+    if (at > context.now) return at;
+  }
+  return rate_limiter.next_send_at(message, context);
+}
+
+double Route::own_rate(const StepContext& context) const {
+  const double even_part = std::max(rate_limiter.limit(), kMinAssumedRate) / context.settings.relay_count;
+  const double observed = std::max(kMinObservedSeconds, seconds(context.now - context.started_at));
+  const double span = kRateMemorySeconds * (1 - std::exp(-observed / kRateMemorySeconds));
+  const double calls = served.per_second(context.now) * kRateMemorySeconds + 1;
+  return std::max(even_part, calls / (span + 1 / even_part));
+}
+
+void Route::restore(const DestinationState& state, Time now) {
+  blocked_until_ = state.wait_until;
+  outage_detector_.restore({state.outage_since, state.recovering_since, state.rate_before_outage});
+  slow_start.restore(now);
+}
+
+// An outage that rests on suspicion alone is not persisted.
+void Route::persist_to(DestinationState& state, Time now) const {
+  if (outage().in_outage() && !outage_detector_.is_suspicion_only()) {
+    state.outage_since = outage().outage_since;
+    state.recovering_since = outage().recovering_since;
+    state.rate_before_outage = outage().rate_before_outage;
+  }
+  state.wait_until = blocked_until_ > now ? blocked_until_ : 0;
+}
+
+void Route::begin_outage(const OutageDetector::Evidence& evidence, const StepContext& context,
+                         std::vector<Action>& actions) {
+  outage_detector_.begin_outage(own_rate(context), evidence.suspicion_only, context.now);
+  slow_start.restart(context);
+  trial_calls.forget_health_check();
+  const auto per_minute = std::lround(60 * outage().rate_before_outage);
+  log(std::string("outage, ") + evidence.description + "; served before: " + std::to_string(per_minute) +
+          " a minute",
+      actions);
+}
+
+void Route::log(const std::string& text, std::vector<Action>& actions) const {
+  actions.push_back(Log{"destination " + std::to_string(key.destination) + ": " + text});
+}
+
+void Route::log_change(OutageDetector::Change change, std::vector<Action>& actions) const {
+  if (change != OutageDetector::Change::kNone) log(log_text(change), actions);
+}
+
+}  // namespace turntally::policy
