--- a/policy/calls_in_flight.h
+++ b/policy/calls_in_flight.h
@@ -3,9 +3,9 @@
 // Invariant: a call exists as long as a message in it has no outcome.
 #pragma once
 
-#include <compare>
 #include <cstdint>
 #include <map>
+#include <tuple>
 
 #include "turntally/policy.h"
 
@@ -14,7 +14,9 @@
 struct AttemptKey {
   uint64_t message = 0;
   int attempt = 0;  // from 0
-  auto operator<=>(const AttemptKey&) const = default;
+  friend bool operator<(const AttemptKey& a, const AttemptKey& b) {
+    return std::tie(a.message, a.attempt) < std::tie(b.message, b.attempt);
+  }
 };
 
 struct Attempt {
--- a/policy/load_shedder.h
+++ b/policy/load_shedder.h
@@ -1,9 +1,9 @@
 // Decides which messages to reject when there is hardly room for more: those of the least weight.
 #pragma once
 
-#include <compare>
 #include <cstddef>
 #include <cstdint>
+#include <tuple>
 #include <vector>
 
 namespace turntally::policy {
@@ -11,7 +11,9 @@
 struct SheddableMessage {
   double weight = 0;  // if it were delivered now
   uint64_t id = 0;
-  auto operator<=>(const SheddableMessage&) const = default;
+  friend bool operator<(const SheddableMessage& a, const SheddableMessage& b) {
+    return std::tie(a.weight, a.id) < std::tie(b.weight, b.id);
+  }
 };
 
 // How many of the pending messages are too many.
--- a/policy/message_priority.h
+++ b/policy/message_priority.h
@@ -1,8 +1,8 @@
 // Decides what delivering a message at a given time is worth: its weight.
 #pragma once
 
-#include <compare>
 #include <cstdint>
+#include <tuple>
 
 #include "policy/message.h"
 
@@ -18,7 +18,10 @@
   double negated_weight_per_slot_second = 0;
   Time full_weight_until = 0;
   uint64_t id = 0;
-  auto operator<=>(const SendCandidate&) const = default;
+  friend bool operator<(const SendCandidate& a, const SendCandidate& b) {
+    return std::tie(a.negated_weight_per_slot_second, a.full_weight_until, a.id) <
+           std::tie(b.negated_weight_per_slot_second, b.full_weight_until, b.id);
+  }
 };
 
 SendCandidate send_candidate(const Message& message, Time now, double latency_seconds,
--- a/policy/route.h
+++ b/policy/route.h
@@ -2,8 +2,8 @@
 // endpoint where the endpoints of a kind are independent. It brings the decisions on one route together.
 #pragma once
 
-#include <compare>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "policy/message.h"
@@ -20,7 +20,9 @@
   Endpoint endpoint;  // empty for all endpoints of the destination
 
   bool is_one_endpoint() const { return endpoint != Endpoint{}; }
-  auto operator<=>(const RouteKey&) const = default;
+  friend bool operator<(const RouteKey& a, const RouteKey& b) {
+    return std::tie(a.destination, a.endpoint) < std::tie(b.destination, b.endpoint);
+  }
 };
 
 class Route {
