--- /dev/null
+++ b/tests/registry/stored_data_test.cpp
@@ -0,0 +1,74 @@
+// Data that the version of commit 5be24d8 wrote: this program must read it, and come to the same bytes.
+// tests/data/registry-5be24d8/commands.txt has one line for each entry of a log: its index, the kind and the
+// revision of the result, the hash of the state after it, and the encoded command in hexadecimal.
+// snapshot.hex is the snapshot after the last one.
+#include <gtest/gtest.h>
+
+#include <fstream>
+#include <sstream>
+#include <string>
+
+#include "registry/state.h"
+
+namespace turntally::registry {
+namespace {
+
+const std::string kFolder = STORED_DATA;
+
+std::string bytes_of(const std::string& hex) {
+  std::string bytes;
+  for (size_t i = 0; i + 1 < hex.size(); i += 2) {
+    bytes.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
+  }
+  return bytes;
+}
+
+std::string stored_snapshot() {
+  std::ifstream file(kFolder + "/snapshot.hex");
+  std::string hex;
+  file >> hex;
+  return bytes_of(hex);
+}
+
+// The limits that the fixture was written with.
+Limits stored_limits() {
+  Limits limits;
+  limits.kept_changes = 20;
+  limits.kept_requests = 15;
+  return limits;
+}
+
+TEST(StoredData, AppliesCommandsToTheSameResultsHashesAndSnapshot) {
+  std::ifstream file(kFolder + "/commands.txt");
+  ASSERT_TRUE(file);
+  State state(stored_limits());
+  uint64_t index = 0;
+  int kind = 0;
+  Revision revision = 0;
+  std::string hash;
+  std::string hex;
+  while (file >> index >> kind >> revision >> hash >> hex) {
+    const std::string bytes = bytes_of(hex);
+    const Command command = decode(bytes);
+    EXPECT_EQ(encode(command), bytes) << "entry " << index;
+    const ApplyResult result = state.apply(index, command);
+    EXPECT_EQ(static_cast<int>(result.kind), kind) << "entry " << index;
+    EXPECT_EQ(result.revision, revision) << "entry " << index;
+    ASSERT_EQ(state.hash(), std::stoull(hash, nullptr, 16)) << "entry " << index;
+  }
+  EXPECT_EQ(index, 136U);
+  EXPECT_EQ(state.snapshot(), stored_snapshot());
+}
+
+TEST(StoredData, RestoresASnapshotAndWritesTheSameBytes) {
+  const std::string bytes = stored_snapshot();
+  ASSERT_FALSE(bytes.empty());
+  const State state = State::restore(bytes);
+  EXPECT_EQ(state.snapshot(), bytes);
+  EXPECT_EQ(state.identity(), "list-two");
+  // A log pads what it stores to whole words.
+  EXPECT_EQ(State::restore(bytes + std::string(5, '\0')).hash(), state.hash());
+}
+
+}  // namespace
+}  // namespace turntally::registry
