--- a/registry/replica.cpp
+++ b/registry/replica.cpp
@@ -52,15 +52,15 @@
 
 }  // namespace
 
-const char* name_of(Standing::Role role) {
+const char* role_name(RaftStatus::Role role) {
   switch (role) {
-    case Standing::Role::kFollower:
+    case RaftStatus::Role::kFollower:
       return "follower";
-    case Standing::Role::kCandidate:
+    case RaftStatus::Role::kCandidate:
       return "candidate";
-    case Standing::Role::kLeader:
+    case RaftStatus::Role::kLeader:
       return "leader";
-    case Standing::Role::kDown:
+    case RaftStatus::Role::kDown:
       break;
   }
   return "down";
@@ -96,7 +96,7 @@
       if (self && !self->stopped_) what(*self);
     });
   }
-  void answer(uint64_t ticket, Result result) {
+  void answer(uint64_t ticket, ProposalResult result) {
     say([ticket, result = std::move(result)](Loop& self) {
       const auto it = self.waiting_.find(ticket);
       if (it == self.waiting_.end()) return;
@@ -122,7 +122,7 @@
   bool stopping_ = false;
   Log* log_ = nullptr;  // while one is open
 
-  Standing told_;
+  RaftStatus told_;
 };
 
 // The log while it is open: libraft's objects on a loop of their own.
@@ -141,7 +141,7 @@
   int send(uint64_t ticket, const std::function<int(Request*)>& call);
   template <typename Request>
   static void ended(Request* request, int status);
-  Result result_of(int status);
+  ProposalResult result_of(int status);
   void carry_out(Task& task);
   void change(Task& task, const std::function<int(raft_change*, raft_change_cb)>& what);
   int apply(const raft_buffer& buffer);
@@ -184,7 +184,7 @@
   connect_ = transport_.connect;
   transport_.connect = [](raft_uv_transport* t, raft_uv_connect* request, raft_id id, const char* address,
                           raft_uv_connect_cb cb) {
-    const auto& dial = here_->owner_.settings_.dial;
+    const auto& dial = here_->owner_.settings_.dial_overrides;
     const auto it = dial.find(address);
     return here_->connect_(t, request, id, it == dial.end() ? address : it->second.c_str(), cb);
   };
@@ -242,13 +242,13 @@
   ready_ = true;
   raft_set_election_timeout(&raft_, s.election_ms);
   raft_set_heartbeat_timeout(&raft_, s.heartbeat_ms);
-  raft_set_snapshot_threshold(&raft_, s.snapshot_every);
+  raft_set_snapshot_threshold(&raft_, s.snapshot_threshold);
   raft_set_snapshot_trailing(&raft_, s.snapshot_trailing);
   raft_set_pre_vote(&raft_, true);
-  if (!s.found.empty()) {
+  if (!s.bootstrap_members.empty()) {
     raft_configuration members;
     raft_configuration_init(&members);
-    for (const Peer& peer : s.found) {
+    for (const Peer& peer : s.bootstrap_members) {
       rv = rv != 0 ? rv : raft_configuration_add(&members, peer.id, peer.address.c_str(), RAFT_VOTER);
     }
     if (rv == 0) rv = raft_bootstrap(&raft_, &members);
@@ -321,26 +321,26 @@
   }
   for (Task& task : tasks) carry_out(task);
   if (stopping) return close("");
-  Standing now;
+  RaftStatus now;
   const int role = raft_state(&raft_);
   if (role == RAFT_UNAVAILABLE) return close(text_of(RAFT_IOERR, raft_errmsg(&raft_)));
-  now.role = role == RAFT_LEADER     ? Standing::Role::kLeader
-             : role == RAFT_FOLLOWER ? Standing::Role::kFollower
-                                     : Standing::Role::kCandidate;
+  now.role = role == RAFT_LEADER     ? RaftStatus::Role::kLeader
+             : role == RAFT_FOLLOWER ? RaftStatus::Role::kFollower
+                                     : RaftStatus::Role::kCandidate;
   raft_id leader = 0;
   const char* address = nullptr;
   raft_leader(&raft_, &leader, &address);
   now.leader = leader;
   now.term = raft_.current_term;
-  now.last = raft_last_index(&raft_);
-  now.applied = raft_last_applied(&raft_);
+  now.last_index = raft_last_index(&raft_);
+  now.applied_index = raft_last_applied(&raft_);
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     const raft_server& server = raft_.configuration.servers[i];
     now.members.push_back({server.id, server.address, server.role == RAFT_VOTER});
   }
   if (now == owner_.told_) return;
   owner_.told_ = now;
-  owner_.say([now](Loop& loop) { loop.listener_.standing(now); });
+  owner_.say([now](Loop& loop) { loop.listener_.status_changed(now); });
 }
 
 void Replica::Loop::Log::tell_restored() {
@@ -370,7 +370,7 @@
     }
   }
   answer_ = state_.apply(index, command);
-  if (index % owner_.settings_.check_every == 0) {
+  if (index % owner_.settings_.hash_interval == 0) {
     hashes_[index] = state_.hash();
     if (hashes_.size() > kKeptHashes) hashes_.erase(hashes_.begin());
   }
@@ -380,7 +380,7 @@
   return 0;
 }
 
-Result Replica::Loop::Log::result_of(int status) {
+ProposalResult Replica::Loop::Log::result_of(int status) {
   switch (status) {
     case 0:
       return {ProposalOutcome::kDone, answer_, ""};
@@ -488,8 +488,8 @@
     say([why](Loop& loop) {
       for (const auto& [ticket, done] : std::exchange(loop.waiting_, {}))
         done({ProposalOutcome::kUnknown, {}, why});
-      loop.listener_.standing({});
-      loop.listener_.trouble(why);
+      loop.listener_.status_changed({});
+      loop.listener_.log_closed(why);
     });
     wake_.wait_for(lock, kReopenPause, [this] { return stopping_; });
     if (stopping_) return;
@@ -531,16 +531,16 @@
   loop_->add({Loop::Task::Kind::kPropose, 0, command, 0, ""}, std::move(done));
 }
 void Replica::barrier(Done done) { loop_->add({Loop::Task::Kind::kBarrier, 0, {}, 0, ""}, std::move(done)); }
-void Replica::add(uint64_t id, const std::string& address, Done done) {
+void Replica::add_member(uint64_t id, const std::string& address, Done done) {
   loop_->add({Loop::Task::Kind::kAdd, 0, {}, id, address}, std::move(done));
 }
-void Replica::promote(uint64_t id, Done done) {
+void Replica::promote_member(uint64_t id, Done done) {
   loop_->add({Loop::Task::Kind::kPromote, 0, {}, id, ""}, std::move(done));
 }
-void Replica::remove(uint64_t id, Done done) {
+void Replica::remove_member(uint64_t id, Done done) {
   loop_->add({Loop::Task::Kind::kRemove, 0, {}, id, ""}, std::move(done));
 }
-void Replica::transfer(uint64_t id, Done done) {
+void Replica::transfer_leadership(uint64_t id, Done done) {
   loop_->add({Loop::Task::Kind::kTransfer, 0, {}, id, ""}, std::move(done));
 }
 
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -27,17 +27,18 @@
 
 struct ReplicaSettings {
   uint64_t id = 0;
-  std::string address;      // as the others know it
-  std::string listen;       // where it listens; empty: `address`
-  std::string folder;       // must be there
-  std::vector<Peer> found;  // the members of a log that begins here; empty: it joins one, or has one
-  std::map<std::string, std::string> dial;  // where to call an address instead
+  std::string address;  // as the others know it
+  std::string listen;   // where it listens; empty: `address`
+  std::string folder;   // must be there
+  std::vector<Peer>
+      bootstrap_members;  // the members of a log that begins here; empty: it joins one, or has one
+  std::map<std::string, std::string> dial_overrides;  // where to call an address instead
   Limits limits;
   unsigned election_ms = 500;  // a leader not heard for so long, up to twice that, is replaced
   unsigned heartbeat_ms = 50;
-  unsigned snapshot_every = 4096;     // entries of the log
-  unsigned snapshot_trailing = 1024;  // entries kept behind it for members that are a little late
-  uint64_t check_every = 1024;        // entries between two hashes of the state
+  unsigned snapshot_threshold = 4096;  // entries of the log
+  unsigned snapshot_trailing = 1024;   // entries kept behind it for members that are a little late
+  uint64_t hash_interval = 1024;       // entries between two hashes of the state
 };
 
 // What became of a proposal.
@@ -48,35 +49,35 @@
   kRefused     // nothing was written; `why` says for what reason
 };
 
-struct Result {
-  ProposalOutcome fate = ProposalOutcome::kDone;
-  ApplyResult answer;  // kDone, of a command
-  std::string why;
+struct ProposalResult {
+  ProposalOutcome outcome = ProposalOutcome::kDone;
+  ApplyResult applied;  // kDone, of a command
+  std::string reason;
 };
 
-struct Standing {
+struct RaftStatus {
   enum class Role { kDown, kFollower, kCandidate, kLeader };
   Role role = Role::kDown;
   uint64_t leader = 0;  // 0: none is known
   uint64_t term = 0;
-  uint64_t last = 0;     // index of the last entry
-  uint64_t applied = 0;  // and of the last one that was applied
+  uint64_t last_index = 0;     // index of the last entry
+  uint64_t applied_index = 0;  // and of the last one that was applied
   std::vector<Peer> members;
-  bool operator==(const Standing&) const = default;
+  bool operator==(const RaftStatus&) const = default;
 };
-const char* name_of(Standing::Role role);
+const char* role_name(RaftStatus::Role role);
 
 class Replica {
  public:
   // All called in the caller's io_context.
   struct Listener {
     std::function<void(uint64_t index, const Command&, const ApplyResult&)> applied;
-    std::function<void(uint64_t index, State)> restored;  // in place of all before it
-    std::function<void(const Standing&)> standing;        // when it has changed
-    std::function<void(const std::string&)> trouble;      // the log was closed, and will be opened again
-    std::function<void(const std::string&)> diverged;     // this member's state is not the leader's
+    std::function<void(uint64_t index, State)> restored;    // in place of all before it
+    std::function<void(const RaftStatus&)> status_changed;  // when it has changed
+    std::function<void(const std::string&)> log_closed;     // the log was closed, and will be opened again
+    std::function<void(const std::string&)> diverged;       // this member's state is not the leader's
   };
-  using Done = std::function<void(const Result&)>;
+  using Done = std::function<void(const ProposalResult&)>;
 
   // Starts the thread.
   Replica(boost::asio::io_context& io, ReplicaSettings settings, Listener listener);
@@ -84,10 +85,10 @@
 
   void propose(const Command& command, Done done);
   void barrier(Done done);  // done once all that was committed before it has been applied and told
-  void add(uint64_t id, const std::string& address, Done done);  // without a vote
-  void promote(uint64_t id, Done done);                          // gives it one, once it has caught up
-  void remove(uint64_t id, Done done);
-  void transfer(uint64_t id, Done done);  // 0: to any other
+  void add_member(uint64_t id, const std::string& address, Done done);  // without a vote
+  void promote_member(uint64_t id, Done done);                          // gives it one, once it has caught up
+  void remove_member(uint64_t id, Done done);
+  void transfer_leadership(uint64_t id, Done done);  // 0: to any other
 
  private:
   class Loop;
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -51,10 +51,10 @@
 }
 
 // Why the log has not taken a proposal.
-Error error_of(const Result& result) {
-  if (result.fate == ProposalOutcome::kNotLeader) return NoLeader(result.why);
-  if (result.fate == ProposalOutcome::kRefused) return ProposalRefused(result.why);
-  return WriteUnknown(result.why);
+Error error_of(const ProposalResult& result) {
+  if (result.outcome == ProposalOutcome::kNotLeader) return NoLeader(result.reason);
+  if (result.outcome == ProposalOutcome::kRefused) return ProposalRefused(result.reason);
+  return WriteUnknown(result.reason);
 }
 
 std::optional<uint64_t> number_of(const std::string& text) {
@@ -365,11 +365,11 @@
   settings.address = config_.self().raft;
   settings.listen = config_.raft_listen;
   settings.folder = config_.folder;
-  settings.dial = config_.dial;
+  settings.dial_overrides = config_.dial;
   settings.election_ms = config_.election_ms;
   settings.heartbeat_ms = config_.heartbeat_ms;
   if (found) {
-    for (const MemberAddress& m : config_.members) settings.found.push_back({m.number, m.raft});
+    for (const MemberAddress& m : config_.members) settings.bootstrap_members.push_back({m.number, m.raft});
   }
   keep();
   Replica::Listener listener;
@@ -382,8 +382,8 @@
     state_ = std::move(state);
     hub_->changed();
   };
-  listener.standing = [this](const Standing& now) { standing(now); };
-  listener.trouble = [this](const std::string& why) {
+  listener.status_changed = [this](const RaftStatus& now) { standing(now); };
+  listener.log_closed = [this](const std::string& why) {
     ++figures_.reopened;
     trouble_ = why;
     log::error("log_closed", "why", why);
@@ -417,14 +417,14 @@
   if (state_.revision() != before) hub_->changed();
 }
 
-void Service::standing(const Standing& now) {
-  const Standing before = std::exchange(standing_, now);
-  if (now.role != Standing::Role::kDown) trouble_.clear();
+void Service::standing(const RaftStatus& now) {
+  const RaftStatus before = std::exchange(status_, now);
+  if (now.role != RaftStatus::Role::kDown) trouble_.clear();
   if (before.leader != now.leader || (before.role != now.role && leads())) {
     if (now.leader != 0) ++figures_.leader_changes;
-    log::info("leader", "id", now.leader, "term", now.term, "role", name_of(now.role));
+    log::info("leader", "id", now.leader, "term", now.term, "role", role_name(now.role));
   }
-  if (!leads() || (before.role == Standing::Role::kLeader && before.term == now.term)) return;
+  if (!leads() || (before.role == RaftStatus::Role::kLeader && before.term == now.term)) return;
   // Of the log alone: what this member read as a leader before may be ahead of what others did since.
   clock_us_ = state_.now() * 1000;
   read_ = net::steady_now();
@@ -449,12 +449,12 @@
     if (!error) tick();
   });
   if (!leads() || in_flight_ >= kMostInFlight) return;
-  const auto ignored = [](const Result&) {};
+  const auto ignored = [](const ProposalResult&) {};
   if (!lead_told_) {  // before all else that this leader writes
     Command lead{Command::Kind::kLeaderElected, now_ms(), "", {}, "", 0};
     lead.number = static_cast<uint64_t>(config_.lease_most_ttl_ms);
-    replica_->propose(lead, [this, term = standing_.term](const Result& result) {
-      lead_told_ = lead_told_ || (result.fate == ProposalOutcome::kDone && term == standing_.term);
+    replica_->propose(lead, [this, term = status_.term](const ProposalResult& result) {
+      lead_told_ = lead_told_ || (result.outcome == ProposalOutcome::kDone && term == status_.term);
     });
   }
   if (state_.identity().empty()) {
@@ -463,7 +463,7 @@
     replica_->propose(found, ignored);
   }
   replica_->propose({Command::Kind::kTick, now_ms(), "", {}, "", 0}, ignored);
-  for (const Peer& peer : standing_.members) {
+  for (const Peer& peer : status_.members) {
     const uint64_t number = peer.id % kNumbers;
     const auto known = std::find_if(config_.members.begin(), config_.members.end(),
                                     [&](const MemberAddress& m) { return m.number == number; });
@@ -471,9 +471,9 @@
       replica_->propose({Command::Kind::kMember, now_ms(), "", {}, known->http, number}, ignored);
     }
   }
-  const auto waiting = std::find_if(standing_.members.begin(), standing_.members.end(),
+  const auto waiting = std::find_if(status_.members.begin(), status_.members.end(),
                                     [](const Peer& peer) { return !peer.voter; });
-  if (waiting != standing_.members.end()) replica_->promote(waiting->id, ignored);
+  if (waiting != status_.members.end()) replica_->promote_member(waiting->id, ignored);
 }
 
 std::string Service::http_of(uint64_t number) const {
@@ -510,7 +510,7 @@
     if (const auto why = refusal()) return answer->reply(failure(*why));
     return here();
   }
-  const std::string leader = standing_.leader == 0 ? "" : http_of(standing_.leader % kNumbers);
+  const std::string leader = status_.leader == 0 ? "" : http_of(status_.leader % kNumbers);
   if (leader.empty() || leader == config_.self().http) {
     const auto why = refusal();
     return answer->reply(failure(why ? *why : NoLeader("no leader is known")));
@@ -623,10 +623,10 @@
       write->reply(failure(WriteUnknown("no majority of the members answered in " +
                                         std::to_string(config_.write_ms) + " ms")));
     });
-    replica_->propose(command, [this, write, command](const Result& result) {
+    replica_->propose(command, [this, write, command](const ProposalResult& result) {
       --in_flight_;
-      if (result.fate != ProposalOutcome::kDone) {
-        figures_.unknown += result.fate == ProposalOutcome::kUnknown ? 1 : 0;
+      if (result.outcome != ProposalOutcome::kDone) {
+        figures_.unknown += result.outcome == ProposalOutcome::kUnknown ? 1 : 0;
         return write->reply(failure(error_of(result)));
       }
       const double took = static_cast<double>(net::steady_now() - write->begun) / 1e6;
@@ -634,8 +634,8 @@
       ++figures_.commit_buckets[static_cast<size_t>(at - kCommitBounds.begin())];
       figures_.commit_sum_s += took;
       ++figures_.writes;
-      if (result.answer.kind != registry::ApplyResult::Kind::kApplied) ++figures_.refused;
-      write->reply(reply_of(command, result.answer));
+      if (result.applied.kind != registry::ApplyResult::Kind::kApplied) ++figures_.refused;
+      write->reply(reply_of(command, result.applied));
     });
   });
 }
@@ -643,7 +643,7 @@
 void Service::begin_barrier() {
   if (barrier_out_ || barrier_next_.empty()) return;
   barrier_out_ = true;
-  replica_->barrier([this, waiting = std::exchange(barrier_next_, {})](const Result& result) {
+  replica_->barrier([this, waiting = std::exchange(barrier_next_, {})](const ProposalResult& result) {
     barrier_out_ = false;
     begin_barrier();
     for (const auto& then : waiting) then(result);
@@ -651,7 +651,7 @@
 }
 
 // One barrier serves all that came before it went out.
-void Service::barrier(std::function<void(const Result&)> then) {
+void Service::barrier(std::function<void(const ProposalResult&)> then) {
   barrier_next_.push_back(std::move(then));
   begin_barrier();
 }
@@ -683,9 +683,9 @@
   if (it == request.query.end() || it->second != "1") return then();
   at_leader(request, answer, [&] {
     ++figures_.consistent;
-    barrier([answer, then = std::move(then)](const Result& result) {
-      if (result.fate == ProposalOutcome::kDone) return then();
-      answer->reply(failure(NoLeader(result.why)));
+    barrier([answer, then = std::move(then)](const ProposalResult& result) {
+      if (result.outcome == ProposalOutcome::kDone) return then();
+      answer->reply(failure(NoLeader(result.reason)));
     });
   });
 }
@@ -763,32 +763,33 @@
   write(request, answer, {Command::Kind::kRegister, 0, "", {{id, entry, {}}}, "", 0});
 }
 
-void Service::drop(uint64_t number, std::function<void(const Result&)> then) {
-  const auto it = std::find_if(standing_.members.begin(), standing_.members.end(),
+void Service::drop(uint64_t number, std::function<void(const ProposalResult&)> then) {
+  const auto it = std::find_if(status_.members.begin(), status_.members.end(),
                                [&](const Peer& peer) { return peer.id % kNumbers == number; });
-  if (it == standing_.members.end()) return then({});
+  if (it == status_.members.end()) return then({});
   log::info("member_removed", "id", it->id);
-  replica_->remove(it->id, [this, number, id = it->id, then](const Result& result) {
-    if (result.fate != ProposalOutcome::kDone) return then(result);
-    std::erase_if(standing_.members, [&](const Peer& peer) { return peer.id == id; });
+  replica_->remove_member(it->id, [this, number, id = it->id, then](const ProposalResult& result) {
+    if (result.outcome != ProposalOutcome::kDone) return then(result);
+    std::erase_if(status_.members, [&](const Peer& peer) { return peer.id == id; });
     drop(number, then);
   });
 }
 
 void Service::join(uint64_t number, const MemberAddress& address, const Answer& answer) {
   const bool known = state_.members().contains(number) ||
-                     std::any_of(standing_.members.begin(), standing_.members.end(),
+                     std::any_of(status_.members.begin(), status_.members.end(),
                                  [&](const Peer& peer) { return peer.id % kNumbers == number; });
   if (!known) return answer->reply(failure(MemberUnknown(number)));
-  drop(number, [this, number, address, answer](const Result& dropped) {
-    if (dropped.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(dropped.why)));
+  drop(number, [this, number, address, answer](const ProposalResult& dropped) {
+    if (dropped.outcome != ProposalOutcome::kDone)
+      return answer->reply(failure(MembersChange(dropped.reason)));
     // Never used before: the log only grows.
-    const uint64_t id = number + kNumbers * (standing_.last + 1);
-    replica_->add(id, address.raft, [this, id, address, answer](const Result& added) {
-      if (added.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(added.why)));
+    const uint64_t id = number + kNumbers * (status_.last_index + 1);
+    replica_->add_member(id, address.raft, [this, id, address, answer](const ProposalResult& added) {
+      if (added.outcome != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(added.reason)));
       log::info("member_added", "id", id, "raft", address.raft);
       replica_->propose({Command::Kind::kMember, now_ms(), "", {}, address.http, id % kNumbers},
-                        [answer, id](const Result&) {
+                        [answer, id](const ProposalResult&) {
                           answer->reply({200, json({{"id", id}}).dump() + "\n", "application/json", {}});
                         });
     });
@@ -813,17 +814,18 @@
   }
   if (request.method != "DELETE") return answer->reply(failure(NoSuchMethod(request.method)));
   at_leader(request, answer, [&] {
-    if (standing_.leader % kNumbers == *number) {
-      if (standing_.members.size() < 2) return answer->reply(failure(LastMember()));
-      return replica_->transfer(0, [answer](const Result& result) {
-        answer->reply(
-            failure(LeadMoves(result.fate == ProposalOutcome::kDone
-                                  ? "the member leads: it has handed the lead over, ask again"
-                                  : "the member leads, and its lead cannot be handed over: " + result.why)));
+    if (status_.leader % kNumbers == *number) {
+      if (status_.members.size() < 2) return answer->reply(failure(LastMember()));
+      return replica_->transfer_leadership(0, [answer](const ProposalResult& result) {
+        answer->reply(failure(
+            LeadMoves(result.outcome == ProposalOutcome::kDone
+                          ? "the member leads: it has handed the lead over, ask again"
+                          : "the member leads, and its lead cannot be handed over: " + result.reason)));
       });
     }
-    drop(*number, [this, number = *number, request, answer](const Result& result) {
-      if (result.fate != ProposalOutcome::kDone) return answer->reply(failure(MembersChange(result.why)));
+    drop(*number, [this, number = *number, request, answer](const ProposalResult& result) {
+      if (result.outcome != ProposalOutcome::kDone)
+        return answer->reply(failure(MembersChange(result.reason)));
       write(request, answer, {Command::Kind::kMember, 0, "", {}, "", number});
     });
   });
@@ -881,13 +883,13 @@
 
 json Service::status() const {
   json members = json::array();
-  for (const Peer& peer : standing_.members) {
+  for (const Peer& peer : status_.members) {
     members.push_back({{"member", peer.id % kNumbers},
                        {"id", peer.id},
                        {"raft", peer.address},
                        {"http", http_of(peer.id % kNumbers)},
                        {"voter", peer.voter},
-                       {"leader", peer.id == standing_.leader}});
+                       {"leader", peer.id == status_.leader}});
   }
   json leases = json::array();
   for (const auto& [name, lease] : state_.leases().all()) leases.push_back(json_of(lease, state_.now()));
@@ -896,26 +898,27 @@
     sources.push_back(
         {{"source", name}, {"revision", source.revision}, {"age_ms", state_.now() - source.confirmed_ms}});
   }
-  return {{"member", config_.member},
-          {"id", id_},
-          {"role", name_of(standing_.role)},
-          {"leader", standing_.leader % kNumbers},
-          {"term", standing_.term},
-          {"last",
-           replica_ && standing_.role == Standing::Role::kDown ? -1 : static_cast<int64_t>(standing_.last)},
-          {"applied", index_},
-          {"identity", state_.identity()},
-          {"revision", state_.revision()},
-          {"compacted", state_.compacted()},
-          {"entries", state_.entries().size()},
-          {"registrations", state_.registrations()},
-          {"expiry_held", state_.expiry_paused()},
-          {"heard_ms", heard_ms()},
-          {"watchers", hub_->watchers()},
-          {"refusal", refusal() ? refusal()->what() : ""},
-          {"leases", leases},
-          {"sources", sources},
-          {"members", members}};
+  return {
+      {"member", config_.member},
+      {"id", id_},
+      {"role", role_name(status_.role)},
+      {"leader", status_.leader % kNumbers},
+      {"term", status_.term},
+      {"last",
+       replica_ && status_.role == RaftStatus::Role::kDown ? -1 : static_cast<int64_t>(status_.last_index)},
+      {"applied", index_},
+      {"identity", state_.identity()},
+      {"revision", state_.revision()},
+      {"compacted", state_.compacted()},
+      {"entries", state_.entries().size()},
+      {"registrations", state_.registrations()},
+      {"expiry_held", state_.expiry_paused()},
+      {"heard_ms", heard_ms()},
+      {"watchers", hub_->watchers()},
+      {"refusal", refusal() ? refusal()->what() : ""},
+      {"leases", leases},
+      {"sources", sources},
+      {"members", members}};
 }
 
 std::string Service::metrics() const {
--- a/registry/service.h
+++ b/registry/service.h
@@ -47,19 +47,19 @@
   void members(const net::HttpRequest& request, const Answer& answer);
   void restore(const net::HttpRequest& request, const Answer& answer);
   void join(uint64_t number, const MemberAddress& address, const Answer& answer);
-  void drop(uint64_t number, std::function<void(const Result&)> then);
+  void drop(uint64_t number, std::function<void(const ProposalResult&)> then);
   void at_leader(const net::HttpRequest& request, const Answer& answer,
                  const std::function<void()>& here);  // here, or says where
   void mirror(const net::HttpRequest& request, const Answer& answer);
   void leases(const net::HttpRequest& request, const Answer& answer);
   void read(const net::HttpRequest& request, const Answer& answer, std::function<void()> then);
-  void barrier(std::function<void(const Result&)> then);
+  void barrier(std::function<void(const ProposalResult&)> then);
   void begin_barrier();
 
   void applied(uint64_t index, const Command& command, const registry::ApplyResult& answer);
-  void standing(const Standing& now);
+  void standing(const RaftStatus& now);
   void tick();
-  bool leads() const { return standing_.role == Standing::Role::kLeader; }
+  bool leads() const { return status_.role == RaftStatus::Role::kLeader; }
   Millis now_ms();                       // a reading of the log's clock, while this member leads
   int64_t heard_ms() const;              // since this member last heard from a majority; -1: never
   std::optional<Error> refusal() const;  // why no write can be taken here
@@ -77,13 +77,13 @@
   uint64_t index_ = 0;   // of the log, that state_ is at
   uint64_t id_ = 0;      // this member's in the log; 0: not in it yet
   std::string trouble_;  // why the log is closed
-  Standing standing_;
+  RaftStatus status_;
   net::Time heard_ = 0;     // steady
   net::Time clock_us_ = 0;  // of the log, as this leader read it last,
   net::Time read_ = 0;      // and when, steady
   bool lead_told_ = false;  // the log has this leader's kLead
   size_t in_flight_ = 0;
-  std::vector<std::function<void(const Result&)>> barrier_next_;
+  std::vector<std::function<void(const ProposalResult&)>> barrier_next_;
   bool barrier_out_ = false;
   boost::asio::steady_timer tick_;
 
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -447,15 +447,15 @@
     settings_.id = 1;
     settings_.address = "127.0." + std::to_string(::getpid() % 250 + 1) + ".8:7201";
     settings_.folder = folder_;
-    settings_.found = {{1, settings_.address}};
-    settings_.check_every = 4;
+    settings_.bootstrap_members = {{1, settings_.address}};
+    settings_.hash_interval = 4;
     listener_.applied = [this](uint64_t at, const registry::Command&, const registry::ApplyResult&) {
       EXPECT_GT(at, index_);
       index_ = at;
     };
     listener_.restored = [](uint64_t, const registry::State&) {};
-    listener_.standing = [this](const registry::Standing& now) { standing_ = now; };
-    listener_.trouble = [](const std::string& why) { FAIL() << why; };
+    listener_.status_changed = [this](const registry::RaftStatus& now) { standing_ = now; };
+    listener_.log_closed = [](const std::string& why) { FAIL() << why; };
     listener_.diverged = [this](const std::string& what) { diverged_ = what; };
   }
   ~Replica() override { fs::remove_all(folder_); }
@@ -464,7 +464,7 @@
     while (!ready() && std::chrono::steady_clock::now() < end) io_.run_for(std::chrono::milliseconds(5));
     ASSERT_TRUE(ready());
   }
-  bool leads() const { return standing_.role == registry::Standing::Role::kLeader; }
+  bool leads() const { return standing_.role == registry::RaftStatus::Role::kLeader; }
 
   std::string folder_ = ::testing::TempDir() + "registry-replica-XXXXXX";
   boost::asio::io_context io_;
@@ -473,19 +473,20 @@
   registry::Replica::Listener listener_;
   std::string diverged_;
   uint64_t index_ = 0;
-  registry::Standing standing_;
+  registry::RaftStatus standing_;
   registry::Command tick_{registry::Command::Kind::kTick, 1, "", {}, "", 0};
 };
 
 TEST_F(Replica, TellsWhenItsStateIsNotTheLeaders) {
   registry::Replica replica(io_, settings_, listener_);
   until([&] { return leads(); });
-  for (int i = 0; i < 9; ++i) replica.propose(tick_, [](const registry::Result&) {});  // with its own hashes
+  for (int i = 0; i < 9; ++i)
+    replica.propose(tick_, [](const registry::ProposalResult&) {});  // with its own hashes
   until([&] { return index_ >= 9; });
   EXPECT_EQ(diverged_, "");
   tick_.number = 8;
   tick_.text = "0123456789abcdef";
-  replica.propose(tick_, [](const registry::Result&) {});
+  replica.propose(tick_, [](const registry::ProposalResult&) {});
   until([&] { return !diverged_.empty(); });
   EXPECT_NE(diverged_.find("the state at entry 8"), std::string::npos) << diverged_;
 }
@@ -496,9 +497,9 @@
   uint64_t before = 0;
   {
     registry::Replica replica(io_, settings_, listener_);
-    until([&] { return leads() && standing_.applied == standing_.last; });
-    before = standing_.last;
-    for (int i = 0; i < 3; ++i) replica.propose(tick_, [](const registry::Result&) {});
+    until([&] { return leads() && standing_.applied_index == standing_.last_index; });
+    before = standing_.last_index;
+    for (int i = 0; i < 3; ++i) replica.propose(tick_, [](const registry::ProposalResult&) {});
   }
   index_ = 0;
   registry::Replica again(io_, settings_, listener_);
