--- a/cli/targets.cpp
+++ b/cli/targets.cpp
@@ -13,7 +13,7 @@
 #include "cli/command.h"
 #include "cli/errors.h"
 #include "net/toml.h"
-#include "registry/service.h"
+#include "registry/entry_json.h"
 
 namespace turntally::cli {
 namespace {
--- /dev/null
+++ b/registry/error_reply.cpp
@@ -0,0 +1,21 @@
+#include "registry/error_reply.h"
+
+namespace turntally::registry {
+
+net::HttpReply error_reply(const Error& error, nlohmann::json body) {
+  body["code"] = error.code();
+  body["error"] = error.what();
+  body["action"] = error.action();
+  body["outcome"] = error.unknown() ? "unknown" : "none";
+  net::HttpReply reply{error.status(), body.dump() + "\n", "application/json", {}};
+  if (error.status() == 503) reply.fields["Retry-After"] = "1";
+  return reply;
+}
+
+Error proposal_error(const ProposalResult& result) {
+  if (result.outcome == ProposalOutcome::kNotLeader) return NoLeader(result.reason);
+  if (result.outcome == ProposalOutcome::kRefused) return ProposalRefused(result.reason);
+  return WriteUnknown(result.reason);
+}
+
+}  // namespace turntally::registry
--- /dev/null
+++ b/registry/member_metrics.cpp
@@ -0,0 +1,123 @@
+#include "registry/member_metrics.h"
+
+#include <algorithm>
+#include <cstdio>
+
+#include "net/http.h"
+#include "registry/member_state.h"
+#include "registry/watch_broadcaster.h"
+
+namespace turntally::registry {
+namespace {
+
+// Writes samples in Prometheus' text form, one type line and one value each.
+class MetricsText {
+ public:
+  template <typename Value>
+  void gauge(const char* name, Value value) {
+    sample(name, "gauge", std::to_string(value));
+  }
+  template <typename Value>
+  void counter(const char* name, Value value) {
+    sample(name, "counter", std::to_string(value));
+  }
+  void commit_histogram(const MemberMetrics& metrics);
+  std::string text() && { return std::move(text_); }
+
+ private:
+  void sample(const char* name, const char* type, const std::string& value) {
+    text_ += std::string("# TYPE registry_") + name + " " + type + "\nregistry_" + name + " " + value + "\n";
+  }
+
+  std::string text_;
+};
+
+void MetricsText::commit_histogram(const MemberMetrics& metrics) {
+  text_ += "# TYPE registry_commit_seconds histogram\n";
+  uint64_t cumulative = 0;
+  for (size_t i = 0; i < metrics.commit_buckets.size(); ++i) {
+    cumulative += metrics.commit_buckets[i];
+    char bound[24] = "+Inf";
+    if (i < kCommitBounds.size()) std::snprintf(bound, sizeof(bound), "%g", kCommitBounds[i]);
+    text_ += "registry_commit_seconds_bucket{le=\"" + std::string(bound) + "\"} " +
+             std::to_string(cumulative) + "\n";
+  }
+  text_ += "registry_commit_seconds_sum " + std::to_string(metrics.commit_sum_seconds) +
+           "\nregistry_commit_seconds_count " + std::to_string(cumulative) + "\n";
+}
+
+void write_list_metrics(MetricsText& out, const State& state) {
+  out.gauge("revision", state.revision());
+  out.gauge("entries", state.entries().size());
+  out.gauge("registrations", state.registrations());
+  out.gauge("expiry_held", state.expiry_paused() ? 1 : 0);
+}
+
+void write_lease_metrics(MetricsText& out, const State& state, const LeaseTable::Counts& counts) {
+  uint64_t granted = 0;
+  uint64_t queued = 0;
+  for (const auto& [name, lease] : state.leases().all()) {
+    granted += lease.holder.empty() ? 0 : 1;
+    queued += lease.queue.size();
+  }
+  out.gauge("leases", state.leases().all().size());
+  out.gauge("leases_held", granted);
+  out.gauge("leases_waiting", queued);
+  out.counter("leases_granted_total", counts.granted);
+  out.counter("leases_expired_total", counts.expired);
+  out.counter("leases_fenced_total", counts.fenced);
+  out.counter("leases_renewals_total", counts.renewed);
+}
+
+void write_member_metrics(MetricsText& out, const MemberState& member) {
+  out.gauge("source_seconds", static_cast<double>(member.state.source_ms()) / 1000);
+  out.gauge("leads", member.is_leader() ? 1 : 0);
+  out.gauge("heard_seconds", static_cast<double>(member.majority_contact_age_ms()) / 1000);
+  const MemberMetrics& metrics = member.metrics;
+  out.counter("leader_changes_total", metrics.leader_changes);
+  out.counter("compactions_total", metrics.compactions);
+  out.counter("log_reopened_total", metrics.log_reopened);
+  out.counter("reads_total", metrics.reads);
+  out.counter("consistent_reads_total", metrics.consistent_reads);
+  out.counter("redirected_total", metrics.redirected);
+  out.counter("writes_refused_total", metrics.refused);
+  out.counter("writes_unknown_total", metrics.unknown);
+}
+
+void write_watch_metrics(MetricsText& out, const WatchBroadcaster::Counts& counts) {
+  out.counter("watch_lines_encoded_total", counts.encoded);
+  out.counter("watch_lines_sent_total", counts.sent);
+  out.counter("watch_whole_lists_total", counts.whole);
+  out.counter("watch_ahead_total", counts.behind);
+}
+
+}  // namespace
+
+void MemberMetrics::observe_commit(double seconds) {
+  const auto bound = std::lower_bound(kCommitBounds.begin(), kCommitBounds.end(), seconds);
+  ++commit_buckets[static_cast<size_t>(bound - kCommitBounds.begin())];
+  commit_sum_seconds += seconds;
+}
+
+void MemberMetrics::add_lease_counts(const LeaseTable::Counts& before, const LeaseTable::Counts& after) {
+  leases.granted += after.granted - before.granted;
+  leases.expired += after.expired - before.expired;
+  leases.renewed += after.renewed - before.renewed;
+  leases.fenced += after.fenced - before.fenced;
+}
+
+std::string metrics_text(const MemberState& member, const WatchBroadcaster& broadcaster,
+                         const net::HttpServer& server) {
+  MetricsText out;
+  out.gauge("watchers", broadcaster.watchers());
+  out.gauge("connections", server.connections());
+  write_list_metrics(out, member.state);
+  write_lease_metrics(out, member.state, member.metrics.leases);
+  write_member_metrics(out, member);
+  write_watch_metrics(out, broadcaster.counts());
+  out.counter("watch_drops_total", server.unread());
+  out.commit_histogram(member.metrics);
+  return std::move(out).text();
+}
+
+}  // namespace turntally::registry
