--- a/registry/entry_json.cpp
+++ b/registry/entry_json.cpp
@@ -6,6 +6,7 @@
 #include <stdexcept>
 
 #include "net/address.h"
+#include "registry/list_json.h"
 #include "registry/request_fields.h"
 #include "registry/wire_names.h"
 
@@ -86,7 +87,7 @@
 }
 
 json json_of(const Entry& entry) {
-  json object = State::member(entry, entry.state);
+  json object = member_json(entry, entry.state);
   object["ttl_ms"] = entry.ttl_ms;
   object["revision"] = entry.revision;
   if (!entry.owner.empty()) {
--- a/registry/entry_json.h
+++ b/registry/entry_json.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-#include "registry/state.h"
+#include "registry/command.h"
 
 namespace turntally::registry {
 
--- a/registry/replica.cpp
+++ b/registry/replica.cpp
@@ -20,6 +20,7 @@
 #include <utility>
 
 #include "net/random.h"
+#include "registry/command_codec.h"
 
 namespace turntally::registry {
 namespace {
--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -3,6 +3,8 @@
 #include <boost/asio/post.hpp>
 #include <nlohmann/json.hpp>
 
+#include "registry/list_json.h"
+
 namespace turntally::registry {
 namespace {
 
@@ -84,7 +86,7 @@
   if (it != since_.end()) return it->second;
   net::Shared chunk;
   if (const auto changes = state_.since(revision)) {
-    chunk = std::make_shared<std::string>(net::http_chunk(state_.line(*changes).dump() + "\n"));
+    chunk = std::make_shared<std::string>(net::http_chunk(changed_members(state_, *changes).dump() + "\n"));
     ++counts_.encoded;
   }
   return since_[revision] = chunk;
@@ -93,7 +95,7 @@
 net::Shared WatchBroadcaster::whole() {
   if (whole_line_ == nullptr || whole_at_ != state_.revision()) {
     whole_at_ = state_.revision();
-    whole_line_ = std::make_shared<std::string>(state_.list().dump() + "\n");
+    whole_line_ = std::make_shared<std::string>(complete_list(state_).dump() + "\n");
     whole_chunk_ = std::make_shared<std::string>(net::http_chunk(*whole_line_));
     ++counts_.encoded;
   }
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -4,6 +4,8 @@
 #include <nlohmann/json.hpp>
 
 #include "net/random.h"
+#include "registry/command_codec.h"
+#include "registry/list_json.h"
 #include "registry/state.h"
 
 namespace turntally::registry {
@@ -378,7 +380,7 @@
         ASSERT_EQ(a.hash(), b->hash()) << "seed " << seed << " index " << index;
       }
     }
-    EXPECT_EQ(a.list(), b->list());
+    EXPECT_EQ(complete_list(a), complete_list(*b));
   }
 }
 
--- a/tests/registry/stored_data_test.cpp
+++ b/tests/registry/stored_data_test.cpp
@@ -8,6 +8,7 @@
 #include <sstream>
 #include <string>
 
+#include "registry/command_codec.h"
 #include "registry/state.h"
 
 namespace turntally::registry {
