--- a/policy/attempt_outcome.cpp
+++ b/policy/attempt_outcome.cpp
@@ -48,7 +48,7 @@
   ended.endpoint.connections.last_used = now_;
   if (ended.attempt.is_trial) ended.route.trial_calls.on_trial_ended();
   if (event.outcome == Outcome::kOk) ended.destination.retry_budget.on_served();
-  // All relays that got the same retry-after come back at its end: the pause keeps them out of step.
+  // All relays that got the same retry-after come back at its end: the pause spreads them.
   const Time opens = now_ + event.retry_after + settings_.tick;
   if (event.retry_after > 0 && ended.route.blocked_until() < opens)
     ended.route.block_until(opens + random_.between(0, kMaxRandomPause));
--- a/policy/call_timeout.h
+++ b/policy/call_timeout.h
@@ -16,8 +16,8 @@
   // Whether late calls proved lost rather than slow.
   bool late_calls_are_lost() const;
 
-  // The timeout of an attempt that starts now, in microseconds. It is below the message's lifetime, since
-  // lost answers would otherwise fill the slots one by one.
+  // The timeout of an attempt that starts now, in microseconds: a multiple of the suspicion age, and never
+  // beyond the deadline. Without the former, lost answers would fill the slots one by one.
   static Time timeout(const Message& message, Time now, Time suspicion_age);
 
   // Whether the attempt is so late that it may be cancelled to free its slot.
--- a/policy/calls_in_flight.h
+++ b/policy/calls_in_flight.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <tuple>
 
-#include "turntally/policy.h"
+#include "turntally/events.h"
 
 namespace turntally::policy {
 
--- a/policy/destination.h
+++ b/policy/destination.h
@@ -6,6 +6,7 @@
 #include "policy/concurrency_limit.h"
 #include "policy/latency_estimator.h"
 #include "policy/retry_budget.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
--- a/policy/final_answers.cpp
+++ b/policy/final_answers.cpp
@@ -8,7 +8,7 @@
 namespace turntally::policy {
 namespace {
 
-// What a rejected client is asked to wait at least and at most, before the random pause.
+// Bounds of the time that a rejected client should wait, without the random pause.
 constexpr Time kMinClientRetryAfter = 300 * kMillisecond;
 constexpr Time kMaxClientRetryAfter = 1500 * kMillisecond;
 
--- a/policy/idle_connections.h
+++ b/policy/idle_connections.h
@@ -8,12 +8,13 @@
 #include <map>
 
 #include "policy/time.h"
+#include "turntally/events.h"
 
 namespace turntally::policy {
 
 // The connections of one endpoint.
 struct EndpointConnections {
-  int open = 0;
+  int open = 0;  // assumed to be
   Time last_used = 0;
   int consecutive_connect_failures = 0;
   Time connect_failures_since = 0;
--- a/policy/latency_estimator.h
+++ b/policy/latency_estimator.h
@@ -2,7 +2,7 @@
 // which a call without an answer is suspicious.
 #pragma once
 
-#include "turntally/policy.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
--- a/policy/load_report.h
+++ b/policy/load_report.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "turntally/policy.h"
+#include "turntally/settings.h"
 
 namespace turntally::policy {
 
--- a/policy/message.h
+++ b/policy/message.h
@@ -1,7 +1,7 @@
 // A message that still needs its final answer.
 #pragma once
 
-#include "turntally/policy.h"
+#include "turntally/events.h"
 
 namespace turntally::policy {
 
--- a/policy/message_priority.h
+++ b/policy/message_priority.h
@@ -1,4 +1,4 @@
-// Decides what delivering a message at a given time is worth: its weight.
+// Decides the weight of delivering a message at a given time, and from it the order of sending.
 #pragma once
 
 #include <cstdint>
--- a/policy/outage_detector.h
+++ b/policy/outage_detector.h
@@ -4,7 +4,7 @@
 // An outage begins when the evidence suffices, recovers with the first served call that was sent in it, and
 // ends when the slow start is over. Times are points in time, in microseconds.
 //
-// Invariant: recovering_since is 0 while no outage is known or no call was served in it.
+// Invariant: within an outage, recovering_since is 0 until its recovery begins, and again once it fails.
 #pragma once
 
 #include <optional>
@@ -34,7 +34,7 @@
 
   struct Evidence {
     const char* description = "";
-    bool suspicion_only = false;  // it rests on overdue calls alone
+    bool suspicion_only = false;  // overdue calls are all there is
   };
 
   enum class Change { kNone, kWasOnlySlow, kRecovering, kFailsAgain, kWarmedUp };
--- a/policy/policy_impl.h
+++ b/policy/policy_impl.h
@@ -1,4 +1,4 @@
-// The front of the policy: takes events, lets each module learn and decide, and gives out actions.
+// The front of the policy: it passes events to the modules, takes their decisions and emits actions.
 //
 // The order of a step is that of the calls in Impl::step. It is split over these files:
 //   policy.cpp            the step; settings, list, messages and other events
--- a/policy/random.h
+++ b/policy/random.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "turntally/policy.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
--- a/policy/rate_estimator.h
+++ b/policy/rate_estimator.h
@@ -1,7 +1,7 @@
 // Estimates the rate of an event, in events a second, with exponentially decaying memory.
 #pragma once
 
-#include "turntally/policy.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
--- a/policy/rate_limiter.cpp
+++ b/policy/rate_limiter.cpp
@@ -8,7 +8,7 @@
 namespace turntally::policy {
 namespace {
 
-// Calls a second, held against the first rejection of a rare caller.
+// Calls a second. A rare caller, whose own rate says little, starts from it at its first rejection.
 constexpr double kMinRateAtFirstRejection = 0.3;
 constexpr double kOwnRateAllowance = 1.5;
 constexpr double kFirstDecrease = 0.7;   // factor of the rate
--- a/policy/retry_budget.cpp
+++ b/policy/retry_budget.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kPartsPerToken = 10;
-constexpr int kCapTokens = 10;  // for each message of a batch: enough to ride out short failures
+constexpr int kCapTokens = 10;  // for each message of a batch: enough for short failures
 
 }  // namespace
 
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -1,7 +1,7 @@
 // Bounds retries to a destination: each served call earns a tenth of a token, and each retry pays a whole
 // one, so retries stay below a tenth of the traffic when failures are common.
 //
-// Invariant: the balance never exceeds the cap once the cap is known.
+// Invariant: earned tokens never raise the balance above the cap; a restored balance may be above it.
 #pragma once
 
 namespace turntally::policy {
--- a/policy/route.cpp
+++ b/policy/route.cpp
@@ -94,7 +94,7 @@
   slow_start.restore(now);
 }
 
-// An outage that rests on suspicion alone is not persisted.
+// An outage that is only suspected is not persisted.
 void Route::persist_to(DestinationState& state, Time now) const {
   if (outage().in_outage() && !outage_detector_.is_suspicion_only()) {
     state.outage_since = outage().outage_since;
--- a/policy/route.h
+++ b/policy/route.h
@@ -12,6 +12,7 @@
 #include "policy/rate_limiter.h"
 #include "policy/slow_start.h"
 #include "policy/trial_calls.h"
+#include "turntally/actions.h"
 
 namespace turntally::policy {
 
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -1,4 +1,6 @@
-// Settings from their text form. Nothing is decided here.
+// Reads settings from their text form.
+#include "turntally/settings.h"
+
 #include <charconv>
 #include <cmath>
 #include <map>
@@ -7,16 +9,14 @@
 #include <string>
 #include <string_view>
 
-#include "turntally/policy.h"
-
 namespace turntally::policy {
 namespace {
 
-constexpr int kMostEntries = 100000;  // a list longer than this is a mistake in the text
+constexpr int kMaxEntries = 100000;  // a list longer than this is a mistake in the text
 
-class Facts {
+class KeyValueText {
  public:
-  explicit Facts(std::string_view text) {
+  explicit KeyValueText(std::string_view text) {
     while (!text.empty()) {
       const size_t end = text.find('\n');
       std::string_view line = text.substr(0, end);
@@ -42,16 +42,16 @@
     return parse(key, text(key));
   }
 
-  int integer(const std::string& key, int least, std::optional<int> fallback = {}) const {
+  int integer(const std::string& key, int min, std::optional<int> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value != std::floor(value) || value < least || value > 1e9) unreadable(key);
+    if (value != std::floor(value) || value < min || value > 1e9) unreadable(key);
     return static_cast<int>(value);
   }
 
-  double within(const std::string& key, double least, double most, double fallback) const {
+  double within(const std::string& key, double min, double max, double fallback) const {
     const double value = number(key, fallback);
-    if (value < least || value > most) unreadable(key);
+    if (value < min || value > max) unreadable(key);
     return value;
   }
 
@@ -69,19 +69,19 @@
 
   std::vector<std::string> list(const std::string& key) const {
     std::vector<std::string> parts;
-    std::string rest = text(key, "");
-    while (!rest.empty()) {
-      const size_t comma = rest.find(',');
-      parts.push_back(rest.substr(0, comma));
-      rest = comma == std::string::npos ? "" : rest.substr(comma + 1);
+    std::string remaining = text(key, "");
+    while (!remaining.empty()) {
+      const size_t comma = remaining.find(',');
+      parts.push_back(remaining.substr(0, comma));
+      remaining = comma == std::string::npos ? "" : remaining.substr(comma + 1);
     }
     return parts;
   }
 
   std::vector<double> numbers(const std::string& key) const {
-    std::vector<double> out;
-    for (const std::string& part : list(key)) out.push_back(parse(key, part));
-    return out;
+    std::vector<double> values;
+    for (const std::string& part : list(key)) values.push_back(parse(key, part));
+    return values;
   }
 
   static bool parse_flag(const std::string& key, const std::string& value) {
@@ -95,132 +95,132 @@
 
  private:
   static double parse(const std::string& key, const std::string& value) {
-    double out = 0;
-    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(out)) unreadable(key);
-    return out;
+    double number = 0;
+    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
+    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) unreadable(key);
+    return number;
   }
 
   std::map<std::string, std::string> values_;
 };
 
-ClassSettings parse_class(const Facts& facts, const std::string& at) {
-  ClassSettings out;
-  out.name = facts.text(at + "name", "");
-  const std::string effect = facts.text(at + "semantics");
-  if (effect == "safe") {
-    out.idempotency = Idempotency::kIdempotent;
-  } else if (effect == "keyed") {
-    out.idempotency = Idempotency::kIdempotentWithKey;
-    const std::string scope = facts.text(at + "key_scope");
-    if (scope != "all" && scope != "zone" && scope != "cell") Facts::unreadable(at + "key_scope");
-    out.deduplication_scope = scope == "all"    ? DeduplicationScope::kAll
-                              : scope == "zone" ? DeduplicationScope::kZone
-                                                : DeduplicationScope::kGroup;
-    out.deduplication_window = facts.time(at + "key_ttl_s");
-  } else if (effect != "unsafe") {
-    Facts::unreadable(at + "semantics");
-  }
-  out.in_order = facts.flag(at + "in_order", false);
-  out.latency_objective = facts.time(at + "target_s");
-  out.max_lifetime = facts.time(at + "give_up_s");
-  if (out.latency_objective == 0) Facts::unreadable(at + "target_s");
-  if (out.max_lifetime == 0) Facts::unreadable(at + "give_up_s");
-  out.priority_weight = facts.number(at + "worth", 1.0);
-  out.late_weight_share = facts.number(at + "late_worth", 0.0);
-  return out;
+ClassSettings parse_class(const KeyValueText& values, const std::string& at) {
+  ClassSettings settings;
+  settings.name = values.text(at + "name", "");
+  const std::string semantics = values.text(at + "semantics");
+  if (semantics == "safe") {
+    settings.idempotency = Idempotency::kIdempotent;
+  } else if (semantics == "keyed") {
+    settings.idempotency = Idempotency::kIdempotentWithKey;
+    const std::string scope = values.text(at + "key_scope");
+    if (scope != "all" && scope != "zone" && scope != "cell") KeyValueText::unreadable(at + "key_scope");
+    settings.deduplication_scope = scope == "all"    ? DeduplicationScope::kAll
+                                   : scope == "zone" ? DeduplicationScope::kZone
+                                                     : DeduplicationScope::kGroup;
+    settings.deduplication_window = values.time(at + "key_ttl_s");
+  } else if (semantics != "unsafe") {
+    KeyValueText::unreadable(at + "semantics");
+  }
+  settings.in_order = values.flag(at + "in_order", false);
+  settings.latency_objective = values.time(at + "target_s");
+  settings.max_lifetime = values.time(at + "give_up_s");
+  if (settings.latency_objective == 0) KeyValueText::unreadable(at + "target_s");
+  if (settings.max_lifetime == 0) KeyValueText::unreadable(at + "give_up_s");
+  settings.priority_weight = values.number(at + "worth", 1.0);
+  settings.late_weight_share = values.number(at + "late_worth", 0.0);
+  return settings;
 }
 
-void parse_kinds(const Facts& facts, Settings& out) {
-  const auto apart = facts.list("family_info.kind_apart");
-  const auto batch = facts.numbers("family_info.kind_batch");
-  for (const std::string& name : facts.list("kinds")) {
+void parse_kinds(const KeyValueText& values, Settings& settings) {
+  const auto independent = values.list("family_info.kind_apart");
+  const auto batch = values.numbers("family_info.kind_batch");
+  for (const std::string& name : values.list("kinds")) {
     KindSettings kind;
     kind.name = name;
-    const size_t index = out.kinds.size();
-    if (index < apart.size())
-      kind.independent_endpoints = Facts::parse_flag("family_info.kind_apart", apart[index]);
+    const size_t index = settings.kinds.size();
+    if (index < independent.size())
+      kind.independent_endpoints = KeyValueText::parse_flag("family_info.kind_apart", independent[index]);
     if (index < batch.size()) {
-      if (batch[index] < 1 || batch[index] > kMostEntries) Facts::unreadable("family_info.kind_batch");
+      if (batch[index] < 1 || batch[index] > kMaxEntries) KeyValueText::unreadable("family_info.kind_batch");
       kind.max_batch_size = static_cast<int>(batch[index]);
     }
-    out.kinds.push_back(kind);
+    settings.kinds.push_back(kind);
   }
 }
 
-void parse_tenants(const Facts& facts, Settings& out) {
-  const int count = facts.integer("realms.count", 0, 0);
-  if (count > kMostEntries) Facts::unreadable("realms.count");
+void parse_tenants(const KeyValueText& values, Settings& settings) {
+  const int count = values.integer("realms.count", 0, 0);
+  if (count > kMaxEntries) KeyValueText::unreadable("realms.count");
   for (int i = 0; i < count; ++i) {
     const std::string at = "realms." + std::to_string(i) + ".";
-    out.tenants.push_back({facts.text(at + "name", ""), facts.number(at + "quota_per_s", 0.0)});
+    settings.tenants.push_back({values.text(at + "name", ""), values.number(at + "quota_per_s", 0.0)});
   }
 }
 
-void parse_report(const Facts& facts, Settings& out) {
-  const auto fields = facts.list("telemetry.fields");
+void parse_report(const KeyValueText& values, Settings& settings) {
+  const auto fields = values.list("telemetry.fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "x0") out.report_limit_remaining_index = static_cast<int>(i);
-    if (fields[i] == "x1") out.report_limit_index = static_cast<int>(i);
+    if (fields[i] == "x0") settings.report_limit_remaining_index = static_cast<int>(i);
+    if (fields[i] == "x1") settings.report_limit_index = static_cast<int>(i);
   }
 }
 
-void parse_prices(const Facts& facts, Settings& out) {
-  out.cost_cross_zone = facts.number("prices.cross_zone", 0.0);
-  out.cost_handshake = facts.number("prices.handshake", 0.0);
-  out.cost_waste = facts.number("prices.waste", 0.0);
-  out.cost_late_failure = facts.number("prices.late_fail", 0.0);
-  out.cost_health_check = facts.number("prices.probe", 0.0);
-  out.cost_gossip = facts.number("prices.peer", 0.0);
-  out.cost_rejected = facts.number("family_info.refused_price", 0.0);
-  out.zone_costs = facts.numbers("family_info.zone_fee");
+void parse_costs(const KeyValueText& values, Settings& settings) {
+  settings.cost_cross_zone = values.number("prices.cross_zone", 0.0);
+  settings.cost_handshake = values.number("prices.handshake", 0.0);
+  settings.cost_waste = values.number("prices.waste", 0.0);
+  settings.cost_late_failure = values.number("prices.late_fail", 0.0);
+  settings.cost_health_check = values.number("prices.probe", 0.0);
+  settings.cost_gossip = values.number("prices.peer", 0.0);
+  settings.cost_rejected = values.number("family_info.refused_price", 0.0);
+  settings.zone_costs = values.numbers("family_info.zone_fee");
 }
 
 }  // namespace
 
 Settings parse_settings(std::string_view text) {
-  const Facts facts(text);
-  Settings out;
-  const int classes = facts.integer("categories.count", 1);
-  if (classes > kMostEntries) Facts::unreadable("categories.count");
+  const KeyValueText values(text);
+  Settings settings;
+  const int classes = values.integer("categories.count", 1);
+  if (classes > kMaxEntries) KeyValueText::unreadable("categories.count");
   for (int i = 0; i < classes; ++i) {
-    out.classes.push_back(parse_class(facts, "categories." + std::to_string(i) + "."));
-  }
-  parse_kinds(facts, out);
-  parse_tenants(facts, out);
-  parse_report(facts, out);
-  parse_prices(facts, out);
-  out.relay_index = facts.integer("me", 0, 0);
-  out.relay_count = facts.integer("siblings", 1, 1);
-  out.zone = facts.integer("zone", 0, 0);
-  out.max_concurrent_calls = facts.integer("family_info.calls_out", 1);
-  out.max_pending_messages = facts.integer("bounds.open_cap", 1);
-  out.max_attempts = facts.integer("bounds.max_attempts", 1);
-  out.streams_per_connection = facts.integer("bounds.streams_per_conn", 1, 1);
-  out.health_checks_allowed = facts.flag("bounds.may_probe", false);
-  out.gossip_allowed = facts.flag("bounds.peers", false);
-  out.cancellation_allowed = facts.flag("bounds.cancel", false);
-  out.list_needs_watch = facts.text("discovery", "push") == "ask";
-  out.clients_honor_retry_after = facts.flag("bounds.retry_after", false);
-  out.late_weight_halves = facts.text("family_info.late", "line") == "halves";
-  const std::string weights = facts.text("weights", "silent");
-  out.weights = weights == "nominal" ? Weights::kNominal
-                : weights == "rough" ? Weights::kRough
-                                     : Weights::kNone;
-  out.over_quota_weight_share = facts.within("over_share_worth", 0, 1, 1.0);
-  out.tick = facts.time("resolution_s", 0);
-  out.connection_idle_timeout = facts.time("bounds.conn_idle_s", 0);
-  out.connect_timeout = facts.time("bounds.connect_timeout_s", 0);
-  out.max_retry_after = facts.time("bounds.max_retry_after_s", 0);
-  out.answer_slack = facts.time("obligations.answer_slack_s", 0);
-  out.drain_grace = facts.time("obligations.stop_sending_within_s", 0);
-  out.list_poll_interval = facts.time("obligations.ask_every_s", 0);
-  out.ordering_pause = facts.time("obligations.order_pause_s", 0);
-  out.slow_start_duration = facts.time("obligations.cold_s", 0);
-  out.overload_window = facts.time("obligations.fall_s", 0);
-  out.overload_factor = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
-  out.initial_capacity_share = facts.within("obligations.start_capacity", 0, 1, 1.0);
-  return out;
+    settings.classes.push_back(parse_class(values, "categories." + std::to_string(i) + "."));
+  }
+  parse_kinds(values, settings);
+  parse_tenants(values, settings);
+  parse_report(values, settings);
+  parse_costs(values, settings);
+  settings.relay_index = values.integer("me", 0, 0);
+  settings.relay_count = values.integer("siblings", 1, 1);
+  settings.zone = values.integer("zone", 0, 0);
+  settings.max_concurrent_calls = values.integer("family_info.calls_out", 1);
+  settings.max_pending_messages = values.integer("bounds.open_cap", 1);
+  settings.max_attempts = values.integer("bounds.max_attempts", 1);
+  settings.streams_per_connection = values.integer("bounds.streams_per_conn", 1, 1);
+  settings.health_checks_allowed = values.flag("bounds.may_probe", false);
+  settings.gossip_allowed = values.flag("bounds.peers", false);
+  settings.cancellation_allowed = values.flag("bounds.cancel", false);
+  settings.list_needs_watch = values.text("discovery", "push") == "ask";
+  settings.clients_honor_retry_after = values.flag("bounds.retry_after", false);
+  settings.late_weight_halves = values.text("family_info.late", "line") == "halves";
+  const std::string weights = values.text("weights", "silent");
+  settings.weights = weights == "nominal" ? Weights::kNominal
+                     : weights == "rough" ? Weights::kRough
+                                          : Weights::kNone;
+  settings.over_quota_weight_share = values.within("over_share_worth", 0, 1, 1.0);
+  settings.tick = values.time("resolution_s", 0);
+  settings.connection_idle_timeout = values.time("bounds.conn_idle_s", 0);
+  settings.connect_timeout = values.time("bounds.connect_timeout_s", 0);
+  settings.max_retry_after = values.time("bounds.max_retry_after_s", 0);
+  settings.answer_slack = values.time("obligations.answer_slack_s", 0);
+  settings.drain_grace = values.time("obligations.stop_sending_within_s", 0);
+  settings.list_poll_interval = values.time("obligations.ask_every_s", 0);
+  settings.ordering_pause = values.time("obligations.order_pause_s", 0);
+  settings.slow_start_duration = values.time("obligations.cold_s", 0);
+  settings.overload_window = values.time("obligations.fall_s", 0);
+  settings.overload_factor = values.within("obligations.fall_multiple", 0, 1e6, 1.0);
+  settings.initial_capacity_share = values.within("obligations.start_capacity", 0, 1, 1.0);
+  return settings;
 }
 
 }  // namespace turntally::policy
--- a/policy/step_context.h
+++ b/policy/step_context.h
@@ -3,7 +3,7 @@
 
 #include "policy/random.h"
 #include "policy/time.h"
-#include "turntally/policy.h"
+#include "turntally/settings.h"
 
 namespace turntally::policy {
 
--- a/policy/tenant_quota.h
+++ b/policy/tenant_quota.h
@@ -7,6 +7,7 @@
 #include <map>
 
 #include "policy/token_bucket.h"
+#include "turntally/settings.h"
 
 namespace turntally::policy {
 
--- a/policy/time.h
+++ b/policy/time.h
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <limits>
 
-#include "turntally/policy.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
--- a/policy/token_bucket.h
+++ b/policy/token_bucket.h
@@ -3,7 +3,7 @@
 // Rates are in tokens a second. The balance may be negative: then the next whole token comes later.
 #pragma once
 
-#include "turntally/policy.h"
+#include "turntally/types.h"
 
 namespace turntally::policy {
 
