--- a/tests/policy/checked_policy.h
+++ b/tests/policy/checked_policy.h
@@ -48,8 +48,8 @@
     return out;
   }
 
-  size_t avoided(Time now) const { return policy_.ejected_endpoints(now); }
-  size_t owed() const { return checker_.owed(); }
+  size_t ejected_endpoints(Time now) const { return policy_.ejected_endpoints(now); }
+  size_t unanswered() const { return checker_.unanswered(); }
 
  private:
   Settings settings_;
@@ -57,7 +57,7 @@
   RulesChecker checker_;
 };
 
-// Two classes (0 safe, 1 unsafe) and two kinds (0 shared limit, 1 routes apart).
+// Two classes (0 idempotent, 1 not) and two kinds (0 shared limit, 1 independent endpoints).
 inline Settings plain_settings() {
   Settings s;
   s.classes.resize(2);
--- a/tests/policy/window_test.cpp
+++ b/tests/policy/deduplication_window_test.cpp
@@ -23,7 +23,7 @@
 }
 
 // What never ran starts no window, however late it ended: the message is tried to its end.
-TEST(Window, StartsWithNoConnectionThatFailed) {
+TEST(DeduplicationWindow, DoesNotStartWithFailedConnection) {
   CheckedPolicy relay(short_window());
   const SendAttempt first = first_of(relay);
   relay.step(1'500'000, {ended(first, 0, Outcome::kConnectFailed, 1'500'000)});
@@ -35,7 +35,7 @@
 }
 
 // It runs from the first attempt that may have run, not from those before it.
-TEST(Window, RunsFromTheFirstAttemptThatMayHaveRun) {
+TEST(DeduplicationWindow, StartsWithFirstAttemptThatMayHaveRun) {
   CheckedPolicy relay(short_window());
   const SendAttempt first = first_of(relay);
   relay.step(1'500'000, {ended(first, 0, Outcome::kConnectFailed, 1'500'000)});
@@ -52,7 +52,7 @@
 
 // After the last moment at which its first byte may go, no call is made: it could only be taken back, at the
 // price of a slot, a token and an attempt.
-TEST(Window, NoRepeatIsSentThatMayNotStart) {
+TEST(DeduplicationWindow, SendsNoRetryAfterLatestStart) {
   for (Time failed = 500'000; failed < 1'100'000; failed += 1'000) {
     CheckedPolicy relay(short_window(), static_cast<uint64_t>(failed));
     const SendAttempt first = first_of(relay);
@@ -64,12 +64,12 @@
         sent = true;
       }
     }
-    EXPECT_EQ(relay.owed(), sent ? 1u : 0u) << failed;
+    EXPECT_EQ(relay.unanswered(), sent ? 1u : 0u) << failed;
   }
 }
 
 // The process may be held up for 0.15 s between the look at its clock and the write.
-TEST(Window, LeavesRoomForAProcessThatIsHeldUp) {
+TEST(DeduplicationWindow, LeavesMarginForDelayedProcess) {
   CheckedPolicy relay(short_window());
   relay.step(500'000, {ended(first_of(relay), 0, Outcome::kReset, 500'000)});
   const auto again = all_of<SendAttempt>(relay.idle(500'000, 800'000, 10'000));
@@ -78,7 +78,7 @@
 }
 
 // A restart inside the window: it goes on from the attempt before.
-TEST(Window, GoesOnOverARestart) {
+TEST(DeduplicationWindow, ContinuesAfterRestart) {
   for (const Time age : {300'000, 800'000, 860'000, 1'200'000}) {
     CheckedPolicy relay(short_window());
     MessageArrived in = relay.message(7, 5 * kSecond);
@@ -95,7 +95,7 @@
 }
 
 // A message that a restart found untried has no window.
-TEST(Window, AnUntriedMessageThatIsResumedHasNone) {
+TEST(DeduplicationWindow, IsAbsentForResumedMessageThatDidNotRun) {
   CheckedPolicy relay(short_window());
   MessageArrived in = relay.message(7, 5 * kSecond);
   in.attempts = 2;  // neither of them ran
--- a/tests/policy/early_test.cpp
+++ b/tests/policy/early_rejection_test.cpp
@@ -30,7 +30,7 @@
       for (const Reject& refuse : all_of<Reject>(actions)) end(refuse.id, now);
       for (const Fail& fail : all_of<Fail>(actions)) end(fail.id, now);
     }
-    EXPECT_EQ(relay_.owed(), 0u);
+    EXPECT_EQ(relay_.unanswered(), 0u);
     return given_back_;
   }
 
@@ -75,11 +75,11 @@
   int given_back_ = 0;
 };
 
-class Early : public ::testing::TestWithParam<uint64_t> {};
+class EarlyRejection : public ::testing::TestWithParam<uint64_t> {};
 
-TEST_P(Early, NothingIsGivenBackThatMayStillBeDelivered) { EXPECT_GT(Barren(GetParam()).run(), 30); }
+TEST_P(EarlyRejection, RejectsNothingThatMayStillBeDelivered) { EXPECT_GT(Barren(GetParam()).run(), 30); }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Early, ::testing::Range<uint64_t>(1, 11));
+INSTANTIATE_TEST_SUITE_P(Seeds, EarlyRejection, ::testing::Range<uint64_t>(1, 11));
 
 }  // namespace
 }  // namespace turntally::policy::testing
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -26,7 +26,7 @@
 
 // ---- Retry bucket ----
 
-TEST(RetryBucket, ARepeatWaitsARandomPause) {
+TEST(RetryBudget, DelaysRetryByRandomPause) {
   CheckedPolicy relay(plain_settings());
   const auto first = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(first.size(), 1u);
@@ -36,7 +36,7 @@
 }
 
 // Calls that all fail: the bucket's first fill goes, then repeats stop while first attempts go on.
-TEST(RetryBucket, RepeatsStopWhenTheBucketIsEmpty) {
+TEST(RetryBudget, RejectsRetryWithoutToken) {
   Settings s = plain_settings();
   s.max_attempts = 2;
   const EndpointListChanged list = unguarded(s);
@@ -63,7 +63,7 @@
   EXPECT_EQ(repeats, 10);
 }
 
-TEST(RetryBucket, ServedCallsEarnATenthOfARepeat) {
+TEST(RetryBudget, EarnsTenthOfTokenPerServedCall) {
   Settings s = plain_settings();
   s.classes[0].max_lifetime = 2 * kSecond;
   const EndpointListChanged list = unguarded(s);
@@ -93,8 +93,8 @@
   EXPECT_EQ(repeats_of_one_failure(), 1);
 }
 
-// One refusal turns a whole bundle away: its messages have a first fill each, as single ones do.
-TEST(RetryBucket, ARefusedBundleIsRepeatedWhole) {
+// One rejection concerns a whole batch: its messages have an initial balance each, as single ones do.
+TEST(RetryBudget, RetriesWholeRejectedBatch) {
   Settings s = plain_settings();
   s.kinds[0].max_batch_size = 20;
   s.max_concurrent_calls = 100;
@@ -110,9 +110,9 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.idle(110'000, 15 * kSecond, 10'000)).size(), 20u);
 }
 
-// ---- Promises of a class ----
+// ---- Idempotency and ordering ----
 
-TEST(Promises, UnsafeIsRepeatedOnlyAfterProofThatItNeverRan) {
+TEST(Idempotency, RetriesNonIdempotentOnlyIfItDidNotRun) {
   CheckedPolicy relay(plain_settings());
   const auto sends = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(7, 0, 1)}));
   ASSERT_EQ(sends.size(), 1u);
@@ -124,7 +124,7 @@
   EXPECT_TRUE(all_of<Reject>(after).empty());
 }
 
-TEST(Promises, KeyedStaysInItsGroupAndWindow) {
+TEST(Idempotency, RetriesWithKeyWithinScopeAndWindow) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
   s.classes[0].deduplication_scope = DeduplicationScope::kZone;
@@ -142,7 +142,7 @@
   EXPECT_EQ(all_of<Fail>(after).size(), 1u);  // the window is over, and a refusal is not allowed
 }
 
-TEST(Promises, MessagesOfAKeyGoInTurn) {
+TEST(MessageOrdering, SendsMessagesOfKeyInOrder) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   s.ordering_pause = kSecond;
@@ -158,7 +158,7 @@
   EXPECT_EQ(next[0].id, 2u);
 }
 
-TEST(Promises, AKeyRestsBehindACallThatMayRunYet) {
+TEST(MessageOrdering, PausesKeyAfterCallWithUnknownOutcome) {
   for (const Outcome lost :
        {Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled, Outcome::kMalformedResponse}) {
     Settings s = plain_settings();
@@ -178,8 +178,8 @@
   }
 }
 
-// A part of a bundle may end alone: the others keep its call out.
-TEST(Promises, AKeyRestsWhileTheBundleOfItsLastMessageIsOut) {
+// A part of a batch may end alone: the others keep its call in flight.
+TEST(MessageOrdering, HoldsKeyWhileBatchOfLastMessageIsInFlight) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   s.kinds[0].max_batch_size = 5;
@@ -200,8 +200,8 @@
   EXPECT_EQ(second[0].id, 2u);
 }
 
-// The next one's call must not be there ahead of the notice.
-TEST(Promises, AKeyRestsWhileTheNoticeOfItsLastMessageIsOnItsWay) {
+// The next message's call must not be there ahead of the final answer.
+TEST(MessageOrdering, HoldsKeyUntilFinalAnswerIsDelivered) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   s.max_attempts = 1;
@@ -217,7 +217,7 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.idle(350'000, 2 * kSecond)).size(), 1u);
 }
 
-TEST(Promises, AWithdrawnMessageKeepsItsTurnWhileItsCallIsOut) {
+TEST(MessageOrdering, WithdrawnMessageHoldsKeyWhileInFlight) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   CheckedPolicy relay(s);
@@ -229,16 +229,16 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.step(100'000, {ended(first.at(0), 0, Outcome::kError)})).size(), 1u);
 }
 
-TEST(Promises, EveryMessageIsAnsweredInTime) {
+TEST(FinalAnswers, AnswersEveryMessageInTime) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {relay.message(1, 0), relay.message(2, 0, 1)});  // no endpoint is ever listed
   relay.idle(0, 20 * kSecond);
-  EXPECT_EQ(relay.owed(), 0u);
+  EXPECT_EQ(relay.unanswered(), 0u);
 }
 
-// ---- Waits, drains, slots ----
+// ---- Retry-after, draining, slots ----
 
-TEST(Waits, HoldTheWholeDestinationWhereTheLimitIsShared) {
+TEST(RetryAfter, BlocksWholeDestinationWithSharedLimit) {
   CheckedPolicy relay(plain_settings());
   const auto first =
       all_of<SendAttempt>(relay.step(0, {members({member(1), member(2)}), relay.message(1, 0)}));
@@ -248,7 +248,7 @@
   EXPECT_FALSE(all_of<SendAttempt>(relay.idle(2'010'000, 4 * kSecond)).empty());
 }
 
-TEST(Waits, HoldOneRouteWhereRoutesAreApart) {
+TEST(RetryAfter, BlocksOneRouteOfIndependentEndpoints) {
   CheckedPolicy relay(plain_settings());
   const auto first =
       all_of<SendAttempt>(relay.step(0, {members({member(1, 1, 1), member(2, 1, 1)}), relay.message(1, 0)}));
@@ -258,7 +258,7 @@
   EXPECT_NE(again[0].endpoint, first[0].endpoint);
 }
 
-TEST(Drains, NothingNewGoesToADrainingEndpoint) {
+TEST(EndpointDirectory, SendsNothingToDrainingEndpoint) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1), member(2)})});
   relay.step(10'000, {members({member(1, 1, 0, Listing::kDraining)}, EndpointListChanged::Form::kDelta)});
@@ -270,7 +270,7 @@
   }
 }
 
-TEST(SlotShare, OneDestinationLeavesSlotsToOthersThatWait) {
+TEST(ConcurrencyLimit, LeavesSlotsToOtherDestinations) {
   CheckedPolicy relay(plain_settings());
   std::vector<Event> events = {members({member(1, 1), member(2, 2)})};
   for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 0, 0, 1));
@@ -281,14 +281,14 @@
   EXPECT_EQ(to_second, 4);
 }
 
-TEST(SlotShare, BindsOnlyWhileOthersWait) {
+TEST(ConcurrencyLimit, AppliesOnlyWhileOthersWait) {
   CheckedPolicy relay(plain_settings());
   std::vector<Event> events = {members({member(1, 1)})};
   for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 0));
   EXPECT_EQ(all_of<SendAttempt>(relay.step(0, events)).size(), 8u);
 }
 
-TEST(Batches, MessagesToOneEndpointShareACall) {
+TEST(Batches, MessagesToOneEndpointShareCall) {
   Settings s = plain_settings();
   s.kinds[0].max_batch_size = 5;
   s.max_concurrent_calls = 1;
@@ -302,8 +302,8 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.step(100'000, answers)).size(), 2u);
 }
 
-// A bundle has one fate: its messages are no more evidence against a destination than one call is.
-TEST(Batches, ALostBundleIsOneLostCall) {
+// A batch has one fate: its messages are no more evidence against a destination than one call is.
+TEST(Batches, LostBatchCountsAsOneLostCall) {
   Settings s = plain_settings();
   s.kinds[0].max_batch_size = 20;
   const EndpointListChanged list = unguarded(s);
@@ -318,7 +318,7 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.step(kSecond, events)).size(), 10u);
 }
 
-TEST(Batches, TheLongestWaitThatABundleIsToldHolds) {
+TEST(Batches, LongestRetryAfterOfBatchApplies) {
   Settings s = plain_settings();
   s.kinds[0].max_batch_size = 2;
   CheckedPolicy relay(s);
@@ -331,7 +331,7 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.idle(2 * kSecond, 4 * kSecond, 10'000)).size(), 2u);
 }
 
-TEST(Shedding, TheLeastWorthIsGivenBackWhenRoomRunsOut) {
+TEST(LoadShedder, RejectsLeastWeightFirst) {
   Settings s = plain_settings();
   s.max_pending_messages = 10;
   s.classes[1].priority_weight = 5;
@@ -354,7 +354,7 @@
 }
 
 // A hang: no outcome tells of it, calls only grow old. First attempts are held after a few.
-TEST(Outages, AHangIsSeenByOverdueCalls) {
+TEST(OutageDetector, DetectsHangByOverdueCalls) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   CheckedPolicy relay(s);
@@ -368,7 +368,7 @@
 }
 
 // After an outage the relay's own sends stay under its part of the fail-back budget, queue or not.
-TEST(Outages, AQueueIsNotLetGoAtOnceOnReturn) {
+TEST(SlowStart, SpreadsQueueAfterRecovery) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   CheckedPolicy relay(s);
@@ -403,8 +403,8 @@
             10);
 }
 
-// What goes as one call is more work than one message: a cold destination is sent bundles to match.
-TEST(Outages, BundlesCountTheirWorkOnReturn) {
+// A batch is more work than one message: a destination in slow start gets batches to match.
+TEST(SlowStart, CountsWorkOfBatches) {
   Settings s = plain_settings();
   s.kinds[0].max_batch_size = 20;
   s.max_concurrent_calls = 100;
@@ -431,7 +431,7 @@
 }
 
 // A few lost answers among served calls are not an outage: first attempts go on.
-TEST(Outages, LostAnswersAmongServedCallsHoldNothing) {
+TEST(OutageDetector, IgnoresLostAnswersAmongServedCalls) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   CheckedPolicy relay(s);
@@ -465,7 +465,7 @@
   return open;
 }
 
-TEST(Outages, LostAnswersGiveTheirSlotsBackWhenOthersWait) {
+TEST(Cancellation, FreesSlotsOfLostCallsWhenOthersWait) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 2;
   s.cancellation_allowed = true;
@@ -479,7 +479,7 @@
   EXPECT_EQ(freed[0].id, lost);
 }
 
-TEST(Outages, SlowCallsKeepTheirSlots) {
+TEST(Cancellation, LeavesSlowCalls) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 2;
   s.cancellation_allowed = true;
@@ -490,9 +490,9 @@
   EXPECT_TRUE(all_of<Cancel>(relay.step(now, {relay.message(++id, now), relay.message(++id, now)})).empty());
 }
 
-// Scouts burn messages whose repeats find the bucket empty: where probes are allowed one goes ahead of each
-// scout.
-TEST(Outages, AProbeGoesAheadOfAScout) {
+// Trial calls use up messages whose retries find no token: where health checks are allowed, one precedes each
+// trial call.
+TEST(TrialCalls, SendsHealthCheckBeforeTrialCall) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   s.health_checks_allowed = true;
@@ -522,8 +522,8 @@
   EXPECT_LE(probes, 20);
 }
 
-// A slow answer to a suspected call ends the suspicion, without a ramp.
-TEST(Outages, SlowCallsEndASuspicion) {
+// A slow answer to a suspected call ends the suspicion, without a slow start.
+TEST(OutageDetector, ServedSlowCallEndsSuspicion) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   CheckedPolicy relay(s);
@@ -542,8 +542,8 @@
   EXPECT_EQ(all_of<SendAttempt>(relay.step(now, events)).size(), 10u);
 }
 
-// Refused by a limit shared with other relays: the own pace goes down, and it is not taken for an outage.
-TEST(Limits, RefusalsSlowTheOwnPace) {
+// Rejected by a limit shared with other relays: the send rate goes down, and it is not taken for an outage.
+TEST(RateLimiter, DecreasesSendRateOnRejections) {
   Settings s = plain_settings();
   s.weights = Weights::kNominal;
   s.relay_count = 2;
@@ -596,20 +596,21 @@
   return count;
 }
 
-// A rare caller earns nothing from a dead destination: beyond the first fill there are no repeats.
-TEST(ExpectedTrouble, ARareCallerRepeatsNoMoreThanItsFirstFill) {
+// A rare caller earns nothing from a dead destination: beyond the initial balance there are no retries.
+TEST(RetryBudget, RareCallerRetriesUpToInitialBalance) {
   EXPECT_LE(attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond), 30 + 10);
 }
 
-// A restarted relay has a full bucket, but sees the outage in three calls and then only scouts.
-TEST(ExpectedTrouble, ARestartedRelaySoonOnlyScouts) {
+// A restarted relay has all its retry tokens, but sees the outage in three calls and then sends only trial
+// calls.
+TEST(TrialCalls, RestartedRelaySoonSendsOnlyTrialCalls) {
   EXPECT_LE(attempts_on_a_dead_destination(100'000, 10 * kSecond), 10 + 10 + 10);  // of a hundred messages
 }
 
 // ---- Fleets of hundreds: a relay calls most destinations seldom ----
 
 // An even part of a limit is a call a minute at 300 relays: nothing is held back before a refusal.
-TEST(Fleet, ARareCallerIsServedAtOnce) {
+TEST(RateLimiter, ServesRareCallerAtOnce) {
   Settings s = plain_settings();
   s.relay_count = 300;
   s.weights = Weights::kNominal;
@@ -620,16 +621,17 @@
   for (uint64_t id = 1; id <= 10; ++id) serve_one(relay, id, static_cast<Time>(id) * 5 * kSecond);
 }
 
-// Scouts are counted for the fleet: one relay of 300 sends far fewer than one of three.
-TEST(Fleet, ScoutsOfManyRelaysAddUpToFew) {
+// Trial calls are counted for the fleet: one relay of 300 sends far fewer than one of three.
+TEST(TrialCalls, ManyRelaysSendFewTogether) {
   const int few = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 3);
   const int many = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 300);
   EXPECT_LT(many, few / 2);
   EXPECT_GE(many, 3);
 }
 
-// All relays are told the same end of a wait: a return begins there, and what they hold does not go at once.
-TEST(Fleet, ALongToldWaitBeginsAReturn) {
+// All relays get the same end of a retry-after: a recovery begins there, and pending messages do not go at
+// once.
+TEST(SlowStart, BeginsAfterLongRetryAfter) {
   Settings s = plain_settings();
   s.relay_count = 300;
   CheckedPolicy relay(s);
@@ -642,7 +644,7 @@
 }
 
 // Which of equal endpoints is tried first is drawn: the first of the list would get the calls of all relays.
-TEST(Fleet, EqualEndpointsAreTriedAlike) {
+TEST(EndpointSelector, RelaysSpreadOverEqualEndpoints) {
   int first = 0;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
     CheckedPolicy relay(plain_settings(), seed);
@@ -657,7 +659,7 @@
 
 // A relay's part of a quota is less than a message a second: three at once are chance, not a tenant beyond
 // it.
-TEST(Fleet, ChanceIsNotBeyondAQuota) {
+TEST(TenantQuota, AllowsRandomVariation) {
   Settings s = plain_settings();
   s.relay_count = 100;
   s.max_concurrent_calls = 1;
@@ -683,7 +685,7 @@
   EXPECT_EQ(order, (std::vector<uint64_t>{1, 2, 3, 4}));
 }
 
-// One of many relays whose receiver tells its limit and what is left of it.
+// One of many relays whose destination reports its limit and the share that remains.
 Settings reporting(int relays) {
   Settings s = plain_settings();
   s.relay_count = relays;
@@ -722,7 +724,7 @@
 
 // Above a limit that refused calls use up nothing is served: with more to send than the limit takes, each
 // relay keeps to its own part, and follows the limit when it moves.
-TEST(Fleet, ARelayKeepsToItsPartOfALimit) {
+TEST(RateLimiter, StaysWithinOwnShareOfLimit) {
   Busy busy{CheckedPolicy(reporting(100))};
   EndpointInfo m = member(1);
   m.weight = 100;
@@ -738,7 +740,7 @@
 
 // With much of the limit left not all relays are busy: a little more than the own part; with little left,
 // less.
-TEST(Fleet, ARelayUsesTheRoomThatIsLeft) {
+TEST(RateLimiter, UsesHeadroomOfLimit) {
   Busy busy{CheckedPolicy(reporting(100))};
   EndpointInfo m = member(1);
   m.weight = 100;
@@ -751,7 +753,7 @@
 }
 
 // Without a limit the list's rough figure holds nothing back.
-TEST(Fleet, NoLimitToldHoldsNothingBack) {
+TEST(RateLimiter, IsUnboundedWithoutReportedLimit) {
   Busy busy{CheckedPolicy(reporting(100))};
   EndpointInfo m = member(1);
   m.weight = 100;
@@ -760,8 +762,8 @@
   EXPECT_GE(busy.sends(6 * kSecond, 16 * kSecond, 0), 30);
 }
 
-// A refusal that reports a used-up limit is no sign of an outage, however many come.
-TEST(Fleet, AUsedUpLimitIsNoOutage) {
+// A rejection that reports an exhausted limit is no sign of an outage, however many come.
+TEST(OutageDetector, IgnoresRejectionsOfExhaustedLimit) {
   CheckedPolicy relay(reporting(100));
   EndpointInfo m = member(1);
   m.weight = 100;
@@ -783,8 +785,8 @@
   EXPECT_LE(refused, 12);
 }
 
-// Relays told the same wait do not come back with its end.
-TEST(Fleet, AWaitsEndIsNotMetByAllAtOnce) {
+// Relays with the same retry-after do not all come back at its end.
+TEST(RetryAfter, SpreadsRelaysAtItsEnd) {
   int soon = 0;
   int later = 0;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
@@ -806,7 +808,7 @@
 // ---- Connections ----
 
 // Calls on connections that idled long are lost, on fresh ones served: the next call opens a fresh one.
-TEST(Connections, IdleOnesThatWereDroppedUnseenAreNotUsedAgain) {
+TEST(IdleConnections, StopsReusingDroppedConnections) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)})});
   Time now = kSecond;
@@ -829,7 +831,7 @@
 }
 
 // An endpoint takes few connections: where calls get none, idle ones are given back after each call.
-TEST(Connections, IdleOnesAreReleasedWhileTablesAreFull) {
+TEST(IdleConnections, ClosesThemWhileTablesAreFull) {
   CheckedPolicy relay(plain_settings());
   uint64_t id = 0;
   const auto sends = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(++id, 0)}));
@@ -847,7 +849,7 @@
 }
 
 // An outage is none: what another destination serves meanwhile stays connected, and what comes back too.
-TEST(Connections, AnOutageSaysNothingOfIdleOnes) {
+TEST(IdleConnections, IgnoresOutages) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1, 1), member(2, 2)})});
   uint64_t id = 0;
@@ -874,8 +876,8 @@
   EXPECT_TRUE(after.empty());
 }
 
-// An unsafe call keeps no slot for its whole life: lost answers would fill the slots one by one.
-TEST(Outages, UnsafeCallsAreBoundedToo) {
+// A non-idempotent call keeps no slot for its whole lifetime: lost answers would fill the slots one by one.
+TEST(CallTimeout, BoundsNonIdempotentCalls) {
   CheckedPolicy relay(plain_settings());
   uint64_t id = 0;
   const Time now = warm_up(relay, id);
@@ -886,7 +888,7 @@
 
 // ---- The list ----
 
-TEST(List, AskingIsRenewedAfterAFailure) {
+TEST(ListWatch, ReopensAfterFailure) {
   Settings s = plain_settings();
   s.list_needs_watch = true;
   s.list_poll_interval = 10 * kSecond;
@@ -900,7 +902,7 @@
 
 // ---- Restarts ----
 
-// A policy that has just been started anew and is told of one message from before.
+// A policy that has just been started anew and resumes one message from before.
 std::vector<Action> resumed(const Settings& s, int message_class, int attempts, bool ran, Time since) {
   Policy policy(s, 1);
   MessageArrived in;
@@ -916,7 +918,7 @@
   return actions;
 }
 
-TEST(Restart, ResumedMessagesKeepTheirClassesRules) {
+TEST(Restart, ResumedMessagesFollowTheirClass) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[2].idempotency = Idempotency::kIdempotentWithKey;
@@ -929,7 +931,7 @@
   EXPECT_EQ(all_of<Reject>(resumed(s, 0, s.max_attempts, false, 0)).size(), 1u);  // attempts count on
 }
 
-TEST(Restart, AttemptNumbersGoOn) {
+TEST(Restart, ContinuesAttemptNumbers) {
   CheckedPolicy relay(plain_settings());
   MessageArrived in = relay.message(1, 0);
   in.attempts = 2;
@@ -940,8 +942,9 @@
   relay.step(2 * kSecond, {ended(sends[0], 2, Outcome::kOk)});
 }
 
-// Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
-TEST(Restart, OutagesAndBucketsAreRemembered) {
+// Without it a restarted relay would send all resumed messages at once to a destination that is down or in
+// slow start.
+TEST(Restart, RestoresOutagesAndRetryBudgets) {
   const Settings s = plain_settings();
   DestinationState last;
   Policy before(s, 1);
@@ -971,7 +974,7 @@
   EXPECT_LE(sends({last}), 1u);
 }
 
-TEST(Restart, ABucketSpentStaysSpent) {
+TEST(Restart, RestoresEmptyRetryBudget) {
   const Settings s = plain_settings();
   Policy policy(s, 1);
   MessageArrived in;
@@ -984,8 +987,8 @@
   EXPECT_TRUE(all_of<SendAttempt>(actions).empty());
 }
 
-// A connection that comes up late must not carry a keyed repeat past the time that its key is remembered.
-TEST(Restart, AKeyedRepeatSaysWhenItMustHaveStarted) {
+// A connection that comes up late must not carry a retry with a key past its deduplication window.
+TEST(Restart, RetryWithKeySetsLatestStart) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
   s.classes[0].deduplication_window = 5 * kSecond;
@@ -994,16 +997,16 @@
   EXPECT_LT(sends[0].latest_start, 104 * kSecond);
 }
 
-TEST(Restart, NoCallStartsThatMayNotBeOverBeforeTheEnd) {
+TEST(Shutdown, StartsNoCallThatMayOutlastIt) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)}), ShutdownScheduled{4 * kSecond}});
   EXPECT_EQ(all_of<SendAttempt>(relay.step(kSecond, {relay.message(1, kSecond)})).size(), 1u);
   EXPECT_TRUE(all_of<SendAttempt>(relay.step(3'900'000, {relay.message(2, 3'900'000)})).empty());
 }
 
-// ---- Wrong use ----
+// ---- Invalid use ----
 
-TEST(WrongUse, IsTold) {
+TEST(InvalidUse, ThrowsInvalidArgument) {
   const Settings s = plain_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
@@ -1019,17 +1022,17 @@
   EXPECT_THROW(Policy(Settings{}, 1), std::invalid_argument);
 }
 
-TEST(WrongUse, WhatIsNotHeldIsPassedOver) {
+TEST(InvalidUse, IgnoresEventsOfUnknownMessages) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)}), MessageWithdrawn{99}, TimerFired{5}, GossipReceived{1, "x"},
                  ended(SendAttempt{98, {1, 80}, 0}, 0, Outcome::kOk), HealthCheckEnded{{9, 9}, true, 0, {}}});
 }
 
-// ---- Hosts that go ----
+// ---- Endpoints that leave ----
 
 // It is forgotten only once nothing is out on it: a late outcome still ends its message.
 // Settings are told to every host that is known, also to one that is known for its last call alone.
-TEST(Leaving, NewSettingsBringNoGoneHostBack) {
+TEST(EndpointDirectory, NewSettingsRestoreNoGoneEndpoint) {
   Settings s = plain_settings();
   s.cost_cross_zone = 1;
   CheckedPolicy relay(s);
@@ -1048,7 +1051,7 @@
   }
 }
 
-TEST(Leaving, ALateOutcomeOfAGoneHostEndsItsMessage) {
+TEST(EndpointDirectory, LateOutcomeOfGoneEndpointFinishesMessage) {
   CheckedPolicy relay(plain_settings());
   const auto sends = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
@@ -1056,16 +1059,16 @@
              {members({member(1, 1, 0, Listing::kGone), member(2)}, EndpointListChanged::Form::kDelta)});
   relay.step(20'000, {members({member(1, 1, 0, Listing::kGone)}, EndpointListChanged::Form::kDelta)});
   relay.step(100'000, {ended(sends[0], 0, Outcome::kOk)});
-  EXPECT_EQ(relay.owed(), 0u);
+  EXPECT_EQ(relay.unanswered(), 0u);
   const auto next = all_of<SendAttempt>(relay.step(200'000, {relay.message(8, 200'000)}));
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].endpoint, (Endpoint{2, 80}));
 }
 
-// ---- Spoilt answers ----
+// ---- Malformed responses ----
 
-// They come from any host alike: they end hope for an unsafe message, and say nothing of the host.
-TEST(Spoilt, MayHaveRunAndIsNoSignOfAnOutage) {
+// They come from any endpoint alike: they end a non-idempotent message, and say nothing of the endpoint.
+TEST(MalformedResponse, MayHaveRunAndIsNoOutage) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)})});
   Time now = 0;
@@ -1079,9 +1082,9 @@
   }
 }
 
-// ---- Refusals ----
+// ---- Rejections ----
 
-TEST(Refusals, SayWhenToComeAgain) {
+TEST(Reject, SetsRetryAfter) {
   Settings s = plain_settings();
   s.max_retry_after = kSecond;
   CheckedPolicy relay(s);
@@ -1094,10 +1097,10 @@
   EXPECT_LE(refused[0].retry_after, kSecond);
 }
 
-// ---- Told waits ----
+// ---- Retry-after past the deadline ----
 
-// It is given back at once, with a time to come again, not held towards its end.
-TEST(ToldWait, GivesBackWhatItOutlasts) {
+// It is rejected at once, with a retry-after, rather than near its deadline.
+TEST(RetryAfter, RejectsMessagesBlockedPastDeadline) {
   Settings s = plain_settings();
   CheckedPolicy relay(s);
   const auto sends =
@@ -1112,9 +1115,9 @@
   EXPECT_TRUE(all_of<Reject>(relay.step(15 * kSecond, {relay.message(4, 15 * kSecond)})).empty());
 }
 
-// ---- Endpoints out by hand ----
+// ---- Suspended endpoints ----
 
-TEST(ByHand, AnEndpointThatIsOutGetsNothingWhateverIsListed) {
+TEST(EndpointSuspended, GetsNothingWhateverIsListed) {
   Settings s = plain_settings();
   CheckedPolicy relay(s);
   relay.step(0, {members({member(1), member(2)})});
@@ -1128,9 +1131,9 @@
       relay.step(now + 1000, {ended(send, 0, Outcome::kOk)});
     }
   }
-  EXPECT_EQ(relay.avoided(now), 1u);
+  EXPECT_EQ(relay.ejected_endpoints(now), 1u);
   relay.step(now, {EndpointSuspended{{1, 80}, false}});
-  EXPECT_EQ(relay.avoided(now), 0u);
+  EXPECT_EQ(relay.ejected_endpoints(now), 0u);
   std::set<uint32_t> used;
   for (uint64_t id = 21; id <= 60; ++id, now += kSecond / 5) {
     for (const SendAttempt& send : all_of<SendAttempt>(relay.step(now, {relay.message(id, now)}))) {
@@ -1142,7 +1145,7 @@
 }
 
 // It was restarted meanwhile: what waited for it does not go out at once.
-TEST(ByHand, AnEndpointThatIsPutBackIsWarmedUp) {
+TEST(EndpointSuspended, SlowStartsOnceResumed) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 100;
   s.max_pending_messages = 1000;
@@ -1162,10 +1165,10 @@
   EXPECT_GE(early.size() + next.size(), 3u);
 }
 
-// ---- Upgrade ----
+// ---- Handover ----
 
-// Calls that the process before has out hold slots, together where they travel together.
-TEST(Upgrade, CallsOfTheProcessBeforeHoldSlotsUntilTheyEnd) {
+// Calls of the previous process use slots, one where they travel together.
+TEST(Handover, InheritedCallsUseSlotsUntilTheyEnd) {
   Settings s = plain_settings();
   s.max_concurrent_calls = 2;
   Policy policy(s, 1);
@@ -1194,7 +1197,7 @@
   EXPECT_GE(sends[0].id, 4u);
 }
 
-TEST(Upgrade, HeedsAWaitThatTheProcessBeforeWasTold) {
+TEST(Handover, HonorsInheritedRetryAfter) {
   Settings s = plain_settings();
   CheckedPolicy before(s);
   const auto sends = all_of<SendAttempt>(before.step(0, {members({member(1)}), before.message(1, 0)}));
@@ -1211,7 +1214,7 @@
 
 // ---- New settings ----
 
-TEST(NewSettings, LeaveOpenMessagesTheirOldRules) {
+TEST(SettingsChanged, PendingMessagesKeepTheirTerms) {
   Settings s = plain_settings();
   s.max_attempts = 3;
   Policy policy(s, 1);
@@ -1247,7 +1250,7 @@
   EXPECT_EQ(all_of<Reject>(actions).size(), 1u);
 }
 
-TEST(NewSettings, RefuseAMessageOfAClassThatIsGone) {
+TEST(SettingsChanged, RejectsMessageOfRemovedClass) {
   Settings s = plain_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -52,7 +52,7 @@
       if (!events.empty() || now_ >= wake_) take(relay_.step(now_, events));
       events.clear();
     }
-    EXPECT_EQ(relay_.owed(), 0u);
+    EXPECT_EQ(relay_.unanswered(), 0u);
   }
 
  private:
@@ -68,7 +68,7 @@
   Time up_to(Time most) { return static_cast<Time>(random_() % static_cast<uint64_t>(most)) + 1; }
 
   void add_arrivals(std::vector<Event>& events) {
-    while (relay_.owed() + events.size() < 50 && chance(0.1)) {
+    while (relay_.unanswered() + events.size() < 50 && chance(0.1)) {
       MessageArrived a =
           relay_.message(++last_id_, now_, static_cast<int>(random_() % 4), static_cast<int>(random_() % 3));
       if (a.message_class == 3) a.ordering_key = 1 + random_() % 4;
@@ -154,12 +154,12 @@
 
 class RandomDays : public ::testing::TestWithParam<uint64_t> {};
 
-TEST_P(RandomDays, KeepEveryRule) { World(GetParam()).run(); }
+TEST_P(RandomDays, SatisfyRulesChecker) { World(GetParam()).run(); }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDays, ::testing::Range<uint64_t>(1, 41));
 
 // The checker itself must see what it is there for.
-TEST(RulesChecker, SeesBrokenRules) {
+TEST(RulesChecker, DetectsViolations) {
   const Settings s = plain_settings();
   RulesChecker checker(s);
   MessageArrived arrival;
--- a/tests/policy/rules_checker.cpp
+++ b/tests/policy/rules_checker.cpp
@@ -29,30 +29,30 @@
         }
       }
     } else if (const auto* arrival = std::get_if<MessageArrived>(&event)) {
-      Held& held = held_[arrival->id];
-      held.in = *arrival;
-      held.order = ++arrivals_;
+      TrackedMessage& message = messages_[arrival->id];
+      message.arrival = *arrival;
+      message.order = ++arrivals_;
     } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
-      const auto it = held_.find(ended->id);
-      if (it == held_.end() || ended->attempt >= static_cast<int>(it->second.sent.size())) continue;
+      const auto it = messages_.find(ended->id);
+      if (it == messages_.end() || ended->attempt >= static_cast<int>(it->second.sent.size())) continue;
       Sent& sent = it->second.sent[ended->attempt];
-      sent.out = false;
+      sent.in_flight = false;
       if (!ended->call_started) ++it->second.unbegun;
       if (--calls_[sent.call] == 0) calls_.erase(sent.call);
       const Outcome o = ended->outcome;
       sent.ran = o != Outcome::kRejected && o != Outcome::kConnectFailed && o != Outcome::kNotStarted;
       if (ended->final) it->second.ended = true;
       if (o == Outcome::kRejected && ended->retry_after > 0) {
-        Time& wait = waits_[limit_group(members_[sent.endpoint])];
+        Time& wait = blocked_until_[limit_group(members_[sent.endpoint])];
         wait = std::max(wait, now + ended->retry_after);
       }
       if (o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled ||
           o == Outcome::kMalformedResponse) {
-        rests_[it->second.in.ordering_key] = {now + set_.ordering_pause, ended->id};
+        ordering_holds_[it->second.arrival.ordering_key] = {now + set_.ordering_pause, ended->id};
       }
     } else if (const auto* gone = std::get_if<MessageWithdrawn>(&event)) {
-      const auto it = held_.find(gone->id);
-      if (it != held_.end()) it->second.ended = true;
+      const auto it = messages_.find(gone->id);
+      if (it != messages_.end()) it->second.ended = true;
     }
   }
 }
@@ -61,48 +61,50 @@
   round_.clear();
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<SendAttempt>(&action)) check_send(now, *send);
-    if (const auto* refuse = std::get_if<Reject>(&action)) check_refuse(refuse->id);
+    if (const auto* reject = std::get_if<Reject>(&action)) check_reject(reject->id);
     if (const auto* fail = std::get_if<Fail>(&action)) {
-      Held& held = held_[fail->id];
-      if (held.ended) fault(fail->id, "answered twice");
-      held.ended = true;
+      TrackedMessage& message = messages_[fail->id];
+      if (message.ended) fault(fail->id, "answered twice");
+      message.ended = true;
     }
     if (std::holds_alternative<SendHealthCheck>(action) && !set_.health_checks_allowed)
-      fault(0, "probe where none is allowed");
+      fault(0, "health check where none is allowed");
   }
-  for (const auto& [id, held] : held_) {
-    if (!held.ended && now > held.in.deadline + set_.answer_slack) fault(id, "lost");
+  for (const auto& [id, message] : messages_) {
+    if (!message.ended && now > message.arrival.deadline + set_.answer_slack) fault(id, "no answer in time");
   }
 }
 
 void RulesChecker::check_send(Time now, const SendAttempt& send) {
-  const auto it = held_.find(send.id);
-  if (it == held_.end()) return fault(send.id, "sent but never taken");
-  Held& held = it->second;
-  const ClassSettings& c = set_.classes[held.in.message_class];
-  if (held.ended) fault(send.id, "sent after its end");
+  const auto it = messages_.find(send.id);
+  if (it == messages_.end()) return fault(send.id, "sent but never accepted");
+  TrackedMessage& message = it->second;
+  const ClassSettings& c = set_.classes[message.arrival.message_class];
+  if (message.ended) fault(send.id, "sent after its end");
   const auto member = members_.find(send.endpoint);
   if (member == members_.end()) return fault(send.id, "sent to an endpoint that was never listed");
-  if (member->second.destination != held.in.destination) fault(send.id, "sent to another destination");
-  for (const Sent& earlier : held.sent) {
-    if (earlier.out) fault(send.id, "two attempts at once");
+  if (member->second.destination != message.arrival.destination)
+    fault(send.id, "sent to another destination");
+  for (const Sent& earlier : message.sent) {
+    if (earlier.in_flight) fault(send.id, "two attempts at once");
     if (!earlier.ran) continue;
-    if (c.idempotency == Idempotency::kNonIdempotent) fault(send.id, "unsafe message repeated");
+    if (c.idempotency == Idempotency::kNonIdempotent) fault(send.id, "non-idempotent message retried");
     if (c.idempotency != Idempotency::kIdempotentWithKey) continue;
-    if (now > earlier.at + c.deduplication_window) fault(send.id, "repeated after its window");
+    if (now > earlier.at + c.deduplication_window) fault(send.id, "retried after its deduplication window");
     const EndpointInfo& first = members_[earlier.endpoint];
     if (c.deduplication_scope == DeduplicationScope::kZone && first.zone != member->second.zone)
-      fault(send.id, "left its group");
+      fault(send.id, "left its deduplication scope");
   }
-  if (static_cast<int>(held.sent.size()) - held.unbegun >= set_.max_attempts)
+  if (static_cast<int>(message.sent.size()) - message.unbegun >= set_.max_attempts)
     fault(send.id, "too many attempts");
   const auto drained = drained_at_.find(send.endpoint);
   if (drained != drained_at_.end() && now > drained->second + set_.drain_grace)
     fault(send.id, "drain broken");
-  const auto wait = waits_.find(limit_group(member->second));
-  if (wait != waits_.end() && now < wait->second) fault(send.id, "sent inside a told wait");
-  if (c.in_order && held.in.ordering_key != 0) check_order(now, send.id, held);
-  held.sent.push_back({send.endpoint, now, join_call(member->second)});
+  const auto wait = blocked_until_.find(limit_group(member->second));
+  if (wait != blocked_until_.end() && now < wait->second)
+    fault(send.id, "sent before the retry-after was over");
+  if (c.in_order && message.arrival.ordering_key != 0) check_order(now, send.id, message);
+  message.sent.push_back({send.endpoint, now, join_call(member->second)});
   if (static_cast<int>(calls_.size()) > set_.max_concurrent_calls) fault(send.id, "no slot was free");
 }
 
@@ -116,40 +118,42 @@
   return round_[member.endpoint];
 }
 
-void RulesChecker::check_order(Time now, uint64_t id, const Held& held) {
-  for (const auto& [other_id, other] : held_) {
-    const bool same =
-        set_.classes[other.in.message_class].in_order && other.in.ordering_key == held.in.ordering_key;
-    if (!same || other.order >= held.order) continue;
-    const bool out = std::any_of(other.sent.begin(), other.sent.end(), [](const Sent& s) { return s.out; });
-    if (!other.ended || out) fault(id, "out of turn");
+void RulesChecker::check_order(Time now, uint64_t id, const TrackedMessage& message) {
+  for (const auto& [other_id, other] : messages_) {
+    const bool same = set_.classes[other.arrival.message_class].in_order &&
+                      other.arrival.ordering_key == message.arrival.ordering_key;
+    if (!same || other.order >= message.order) continue;
+    const bool in_flight =
+        std::any_of(other.sent.begin(), other.sent.end(), [](const Sent& s) { return s.in_flight; });
+    if (!other.ended || in_flight) fault(id, "out of order");
   }
-  const auto rest = rests_.find(held.in.ordering_key);
-  if (rest != rests_.end() && rest->second.second != id && now < rest->second.first) {
-    fault(id, "key had no rest");
+  const auto hold = ordering_holds_.find(message.arrival.ordering_key);
+  if (hold != ordering_holds_.end() && hold->second.second != id && now < hold->second.first) {
+    fault(id, "sent within the ordering pause");
   }
 }
 
-void RulesChecker::check_refuse(uint64_t id) {
-  const auto it = held_.find(id);
-  if (it == held_.end()) return fault(id, "refused but never taken");
-  Held& held = it->second;
-  if (held.ended) fault(id, "answered twice");
-  held.ended = true;
-  const ClassSettings& c = set_.classes[held.in.message_class];
-  for (const Sent& sent : held.sent) {
-    if (!sent.out && !sent.ran) continue;
+void RulesChecker::check_reject(uint64_t id) {
+  const auto it = messages_.find(id);
+  if (it == messages_.end()) return fault(id, "rejected but never accepted");
+  TrackedMessage& message = it->second;
+  if (message.ended) fault(id, "answered twice");
+  message.ended = true;
+  const ClassSettings& c = set_.classes[message.arrival.message_class];
+  for (const Sent& sent : message.sent) {
+    if (!sent.in_flight && !sent.ran) continue;
     const bool harmless =
         c.idempotency == Idempotency::kIdempotent || (c.idempotency == Idempotency::kIdempotentWithKey &&
                                                       c.deduplication_scope == DeduplicationScope::kAll);
     if (harmless) continue;
-    fault(id, "refused though it may have run");
+    fault(id, "rejected though it may have run");
     return;
   }
 }
 
-size_t RulesChecker::owed() const {
-  return std::count_if(held_.begin(), held_.end(), [](const auto& item) { return !item.second.ended; });
+size_t RulesChecker::unanswered() const {
+  return std::count_if(messages_.begin(), messages_.end(),
+                       [](const auto& item) { return !item.second.ended; });
 }
 
 }  // namespace turntally::policy::testing
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -56,7 +56,7 @@
   return "";
 }
 
-TEST(Settings, ReadsWhatIsTold) {
+TEST(Settings, ReadsAllKeys) {
   const Settings s = parse_settings(kFacts);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotentWithKey);
@@ -80,7 +80,7 @@
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 7.5);
 }
 
-TEST(Settings, NamesTheKeyThatIsMissing) {
+TEST(Settings, NamesMissingKey) {
   for (const std::string key :
        {"categories.count", "categories.0.semantics", "categories.0.key_ttl_s", "categories.1.target_s",
         "family_info.calls_out", "bounds.open_cap", "bounds.max_attempts"}) {
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(Settings, NamesTheKeyThatIsUnreadable) {
+TEST(Settings, NamesUnreadableKey) {
   EXPECT_NE(error_of(std::string(kFacts) + "bounds.open_cap=many\n").find("bounds.open_cap"),
             std::string::npos);
   EXPECT_NE(error_of(std::string(kFacts) + "categories.count=0\n").find("categories.count"),
@@ -99,7 +99,7 @@
             std::string::npos);
 }
 
-TEST(Settings, NamesTheKeyThatIsOutOfItsRange) {
+TEST(Settings, NamesKeyOutOfRange) {
   for (const char* line : {"obligations.start_capacity=1.5", "obligations.start_capacity=-0.1", "siblings=0",
                            "obligations.fall_multiple=-1", "obligations.fall_multiple=nan",
                            "over_share_worth=2", "bounds.max_attempts=0", "family_info.calls_out=0"}) {
@@ -108,7 +108,7 @@
   }
 }
 
-TEST(Settings, UnknownKeysAreSkipped) { EXPECT_EQ(error_of(std::string(kFacts) + "x.y=1\nno_equals\n"), ""); }
+TEST(Settings, SkipsUnknownKeys) { EXPECT_EQ(error_of(std::string(kFacts) + "x.y=1\nno_equals\n"), ""); }
 
 }  // namespace
 }  // namespace turntally::policy
--- a/tests/policy/cold_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -264,12 +264,12 @@
   int seeds;
 };
 
-class ColdBudget : public ::testing::TestWithParam<Fleet> {};
+class SlowStartBudget : public ::testing::TestWithParam<Fleet> {};
 
 // Most plays keep the budget and its chance. Of many relays some learn of an outage in its last moments and
 // repeat then, and scouts meet by chance: of 30 relays one play in a hundred may go beyond, of 300 one in
 // fifty.
-TEST_P(ColdBudget, IsKeptByAllRelaysTogether) {
+TEST_P(SlowStartBudget, AllRelaysTogetherStayWithinIt) {
   int plays = 0;
   std::string beyond;
   int count = 0;
@@ -306,7 +306,7 @@
 }
 
 // A rare caller seldom has two calls out that are overdue at once: one that got no answer counts as one.
-TEST(LostAndOverdue, MakeAnOutage) {
+TEST(OutageDetector, LostAndOverdueCallsMakeOutage) {
   CheckedPolicy relay(plain_settings());
   relay.step(0, {members({member(1)})});
   Time at = 0;
@@ -325,7 +325,7 @@
 
 // The answer to a call from before the failure says nothing of the time after it: what is held while nothing
 // is listed does not go at once when the destination is back.
-TEST(FailedAndUnlisted, AnOlderCallThatIsServedEndsNoRow) {
+TEST(OutageDetector, OlderServedCallEndsNoFailureRow) {
   CheckedPolicy relay(plain_settings());
   const auto older = all_of<SendAttempt>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
   const auto newer = all_of<SendAttempt>(relay.step(50'000, {relay.message(2, 50'000)}));
@@ -340,7 +340,7 @@
   EXPECT_LE(all_of<SendAttempt>(relay.step(4 * kSecond, {members({member(1)})})).size(), 1u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleets, ColdBudget,
+INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartBudget,
                          ::testing::Values(Fleet{2, 3}, Fleet{3, 3}, Fleet{30, 3}, Fleet{300, 2}),
                          [](const auto& fleet) { return std::to_string(fleet.param.relays); });
 
