--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -16,9 +16,7 @@
 const std::string kDestination = "destination ";
 const std::string kGone = "gone ";
 const std::string kSuspended = "suspended ";
-const std::string kRules = "rules ";  // what a class allows, by number: messages name theirs
-const std::string kClass = "class ";  // the same by the class's name, for messages of versions before
-const std::string kRest = "rest ";    // by key: until when what is in order waits for a call that may run yet
+const std::string kRest = "rest ";  // by key: until when what is in order waits for a call that may run yet
 const std::string kRevision = "revision";
 const std::string kIdentity = "identity";
 const std::string kDestinations = "destinations";
@@ -36,7 +34,6 @@
 constexpr Time kLastPoll = 2 * kMs;
 constexpr Time kFirstWord = 300 * kMs;   // discovery answers at once, unless it is down
 constexpr Time kClockSlack = 100 * kMs;  // clients round what they measure
-constexpr Time kRetire = 5000 * kMs;     // longer than any wait after which a refused client comes again
 constexpr Time kRecordPause = 50 * kMs;  // between two tries of what the disk does not take
 constexpr Time kTransit = 2 * kMs;       // a message's time runs from its client's sending
 
@@ -85,8 +82,6 @@
   return out;
 }
 
-bool in_turn(const policy::ClassSettings& rules, uint64_t about) { return rules.in_order && about != 0; }
-
 // -1: it is not among them.
 int place_of(const std::string& name, const std::vector<std::string>& names) {
   const auto it = std::find(names.begin(), names.end(), name);
@@ -127,6 +122,7 @@
       handover_(io, config.state),
       journal_(config.state, config.disk_bytes),
       clock_(clock_of(journal_)),
+      delivery_terms_(journal_),
       policy_(within_descriptors(config), config.seed),
       wake_timer_(io),
       stop_timer_(io),
@@ -237,86 +233,6 @@
   on_endpoint_list(list);
 }
 
-// What a message's class allows is remembered before the message: a restart may bring settings in which that
-// class allows more, or is not named at all.
-int64_t Relay::rules_now(const std::string& message_class) {
-  int64_t& number = delivery_terms_[message_class];
-  if (number != 0) return number;
-  const std::string text = rules_text(config_.settings.classes[class_of(message_class)]);
-  int64_t last = 0;
-  const auto& facts = journal_.remembered();
-  for (auto it = facts.lower_bound(kRules); it != facts.end() && it->first.starts_with(kRules); ++it) {
-    const int64_t known = std::stoll(it->first.substr(kRules.size()));
-    last = std::max(last, known);
-    if (it->second == text) return number = known;
-  }
-  number = last + 1;
-  journal_.remember(kRules + std::to_string(number), text);
-  return number;
-}
-
-std::string Relay::rules_text(const policy::ClassSettings& c) const {
-  return nlohmann::json{{"effect", static_cast<int>(c.idempotency)},
-                        {"scope", static_cast<int>(c.deduplication_scope)},
-                        {"window", c.deduplication_window},
-                        {"in_order", c.in_order},
-                        {"target", c.latency_objective},
-                        {"give_up", c.max_lifetime},
-                        {"worth", c.priority_weight},
-                        {"late_worth", c.late_weight_share},
-                        {"attempts", config_.settings.max_attempts}}
-      .dump();
-}
-
-Relay::DeliveryTerms Relay::read_rules(const std::string& message_class, const std::string& text) {
-  const nlohmann::json json = nlohmann::json::parse(text);
-  DeliveryTerms out;
-  out.name = message_class;
-  out.idempotency = static_cast<policy::Idempotency>(json.at("effect").get<int>());
-  out.deduplication_scope = static_cast<policy::DeduplicationScope>(json.at("scope").get<int>());
-  out.deduplication_window = json.at("window").get<Time>();
-  out.in_order = json.at("in_order").get<bool>();
-  out.latency_objective = json.at("target").get<Time>();
-  out.max_lifetime = json.at("give_up").get<Time>();
-  out.priority_weight = json.at("worth").get<double>();
-  out.late_weight_share = json.at("late_worth").get<double>();
-  out.most_attempts = json.value("attempts", 0);  // not in older records
-  return out;
-}
-
-// Where nothing at all is known it may run once.
-Relay::DeliveryTerms Relay::rules_of(const std::string& name, int64_t number) const {
-  const auto& facts = journal_.remembered();
-  const auto known = facts.find(kRules + std::to_string(number));
-  if (known != facts.end()) return read_rules(name, known->second);
-  if (const int now = class_of(name); now >= 0) return {config_.settings.classes[now], 0};
-  const auto before = facts.find(kClass + name);
-  if (before != facts.end()) return read_rules(name, before->second);
-  DeliveryTerms out;
-  out.name = name;
-  return out;
-}
-
-// Those that no message has nor will have. Once all are resumed: before, nothing is known of what is held.
-void Relay::forget_rules() {
-  if (!clients_) return;
-  std::set<std::string> used;
-  for (const auto& [number, held] : pending_messages_) {
-    used.insert(held.rules == 0 ? kClass + held.handed.message_class : kRules + std::to_string(held.rules));
-  }
-  std::set<std::string> texts;
-  for (const policy::ClassSettings& c : config_.settings.classes) texts.insert(rules_text(c));
-  std::vector<std::string> over;
-  for (const auto& [name, text] : journal_.remembered()) {
-    const bool rules = name.starts_with(kRules);
-    if ((rules && !texts.contains(text) && !used.contains(name)) ||
-        (name.starts_with(kClass) && !used.contains(name))) {
-      over.push_back(name);
-    }
-  }
-  for (const std::string& name : over) journal_.remember(name, "");
-}
-
 // The module takes messages under rules that the settings have no more.
 void Relay::arrive(const std::vector<RecoveredMessage>& messages) {
   auto all = settings_told();
@@ -354,12 +270,6 @@
   journal_.remember(kDestination + std::to_string(memory.destination), fact.dump());
 }
 
-int Relay::class_of(const std::string& name) const {
-  const auto& classes = config_.settings.classes;
-  const auto it = std::find_if(classes.begin(), classes.end(), [&](const auto& c) { return c.name == name; });
-  return it == classes.end() ? -1 : static_cast<int>(it - classes.begin());
-}
-
 // A tenant that the settings do not name has no share that could be used up.
 int Relay::tenant_of(const std::string& name) const {
   const auto& tenants = config_.settings.tenants;
@@ -367,6 +277,19 @@
   return it == tenants.end() ? -1 : static_cast<int>(it - tenants.begin());
 }
 
+DeliveryTerms Relay::terms_of(const std::string& message_class, int64_t number) const {
+  return delivery_terms_.find(config_.settings, message_class, number);
+}
+
+// Before all messages are recovered nothing is known of the terms in use.
+void Relay::forget_unused_terms() {
+  if (!clients_) return;
+  std::set<std::string> in_use;
+  for (const auto& [number, message] : pending_messages_)
+    in_use.insert(DeliveryTermsStore::fact_name(message.handed.message_class, message.rules));
+  delivery_terms_.forget_unused(config_.settings, in_use);
+}
+
 // Only now messages are taken on or resumed: what discovery had to tell at once has been heard.
 void Relay::open() {
   if (clients_ || stopping_since_ != 0 || handed_over_) return;
@@ -377,7 +300,7 @@
         accept_message(std::move(handed), std::move(answer));
       },
       listener_.release());
-  forget_rules();
+  forget_unused_terms();
   handover_.hear([this](std::optional<HandoverFrame> parcel) { on_predecessor_frame(std::move(parcel)); });
   if (draining_) clients_->drain();
   listening_(clients_->address());
@@ -488,7 +411,7 @@
   for (const Recovered& entry : journal_.recovered()) {
     if (entry.unacknowledged_answer) {
       const SubmittedMessage& over = entry.message;
-      if (in_turn(rules_of(over.message_class, entry.rules), over.ordering_key))
+      if (is_ordered(terms_of(over.message_class, entry.rules), over.ordering_key))
         untold_[over.id] = over.ordering_key;
       notices_.add(*entry.unacknowledged_answer);
       continue;
@@ -526,9 +449,8 @@
       in.possibly_run_since = clock_.to_steady(sent.sent_at);
       in.possibly_run_zone = zone_of(sent);
     }
-    RecoveredMessage kept{in, rules_of(entry.message.message_class, entry.rules)};
-    const int allowed =
-        kept.rules.most_attempts > 0 ? kept.rules.most_attempts : config_.settings.max_attempts;
+    RecoveredMessage kept{in, terms_of(entry.message.message_class, entry.rules)};
+    const int allowed = kept.rules.max_attempts > 0 ? kept.rules.max_attempts : config_.settings.max_attempts;
     kept.in.max_attempts = allowed + entry.attempts - entry.begun;
     if (in.may_have_run && away == inherited_attempts_.end() && rests(kept.rules, in.ordering_key)) {
       if (auto end = cut_off(kept.in)) ends.push_back(std::move(*end));
@@ -563,7 +485,7 @@
 }
 
 bool Relay::rests(const policy::ClassSettings& rules, uint64_t about) const {
-  return in_turn(rules, about) && config_.settings.ordering_pause > 0;
+  return is_ordered(rules, about) && config_.settings.ordering_pause > 0;
 }
 
 // The module holds what comes later under the key; the next process has to.
@@ -737,17 +659,14 @@
     pending_.push_back({number->second, std::move(answer)});
     return;
   }
-  const int message_class = class_of(handed.message_class);
-  const auto retired = retired_.find(handed.message_class);
-  const bool recent = retired != retired_.end() && steady_now() < retired->second.until;
-  const bool over = retired != retired_.end() && retired->second.gone && !recent;
-  if (message_class < 0 || over) return answer("-ERR unknown class");
+  const int message_class = class_index(config_.settings, handed.message_class);
+  if (message_class < 0) return answer("-ERR unknown class");
   const policy::ClassSettings& settings = config_.settings.classes[message_class];
-  const Time most_life =
-      recent ? std::max(settings.max_lifetime, retired->second.give_up) : settings.max_lifetime;
+  const RetiredClasses::Allowance allowance = retired_.allowance(settings, steady_now());
+  if (allowance.removed) return answer("-ERR unknown class");
   if (settings.idempotency == policy::Idempotency::kIdempotentWithKey && handed.key.empty())
     return answer("-ERR no idempotency key");
-  if (handed.time_to_live > most_life + kClockSlack) return answer("-ERR d is too long");
+  if (handed.time_to_live > allowance.max_lifetime + kClockSlack) return answer("-ERR d is too long");
   ClassMetrics& figures = metrics_.classes[handed.message_class];
   if (!directory_.known(handed.destination)) {
     ++figures.error;
@@ -768,7 +687,7 @@
   in.destination = handed.destination;
   in.ordering_key = handed.ordering_key;
   numbers_[handed.id] = number;
-  const int64_t rules = rules_now(handed.message_class);
+  const int64_t rules = delivery_terms_.current_number(config_.settings, handed.message_class);
   pending_messages_[number] = {std::move(handed), in.deadline, 0, false, rules};
   pending_.push_back({number, std::move(answer)});
   queue_event(in);
@@ -828,7 +747,7 @@
   try {
     Config next = load_config();
     require_keys(config_.text, next.text);
-    retire(next.settings);
+    retired_.retire(config_.settings, next.settings, steady_now());
     apply(next);
     ++metrics_.reload_success;
     net::log::info("reloaded");
@@ -839,24 +758,6 @@
   }
 }
 
-// A class that is gone stays in the settings, as it was, for a while: for clients.
-void Relay::retire(policy::Settings& next) {
-  const Time now = steady_now();
-  std::map<std::string, RetiredClass> retired;
-  std::set<std::string> named;
-  for (const policy::ClassSettings& c : next.classes) named.insert(c.name);
-  for (const policy::ClassSettings& old : config_.settings.classes) {
-    const auto before = retired_.find(old.name);
-    const bool gone = !named.contains(old.name);
-    const bool again = gone && before != retired_.end() && before->second.gone;
-    const RetiredClass entry = again ? before->second : RetiredClass{now + kRetire, old.max_lifetime, gone};
-    if (entry.until <= now) continue;
-    retired[old.name] = entry;
-    if (gone) next.classes.push_back(old);
-  }
-  retired_ = std::move(retired);
-}
-
 void Relay::apply(const Config& next) {
   const bool renamed = !(next.names == config_.names);
   std::vector<int> zones;
@@ -870,8 +771,8 @@
   for (auto& [id, away] : inherited_attempts_) {
     if (away.untold) away.untold->in.possibly_run_zone = zone_now(zones, away.untold->in.possibly_run_zone);
   }
-  delivery_terms_.clear();
-  forget_rules();
+  delivery_terms_.on_settings_changed();
+  forget_unused_terms();
   if (pending_messages_.size() > static_cast<size_t>(config_.settings.max_pending_messages))
     last_over_ = last_number_;
   queue_event(policy::SettingsChanged{settings_told(), std::move(zones)});
@@ -902,7 +803,7 @@
         const auto& untold = entry.second.untold;
         return untold && untold->in.ordering_key == about && untold->rules.in_order;
       });
-  return !waits || !in_turn(rules_of(held.handed.message_class, held.rules), about);
+  return !waits || !is_ordered(terms_of(held.handed.message_class, held.rules), about);
 }
 
 // The last look before a call's first byte. While its connection came up the host may have been drained, its
@@ -948,7 +849,7 @@
                          end.outcome == policy::Outcome::kCancelled ||
                          end.outcome == policy::Outcome::kMalformedResponse;
     const SubmittedMessage& handed = held->second.handed;
-    if (hanging && rests(rules_of(handed.message_class, held->second.rules), handed.ordering_key))
+    if (hanging && rests(terms_of(handed.message_class, held->second.rules), handed.ordering_key))
       rest(handed.ordering_key);
     if (end.final) {
       if (end.outcome == policy::Outcome::kOk) ++metrics_.classes[held->second.handed.message_class].success;
@@ -1122,7 +1023,7 @@
     ClassMetrics& figures = metrics_.classes[held->second.handed.message_class];
     ++(notice->returned ? figures.overload : figures.error);
     const SubmittedMessage& over = held->second.handed;
-    if (in_turn(rules_of(over.message_class, held->second.rules), over.ordering_key))
+    if (is_ordered(terms_of(over.message_class, held->second.rules), over.ordering_key))
       untold_[over.id] = over.ordering_key;
     publish_outcome({std::move(*notice), held->second.due});
   } else {
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -15,6 +15,7 @@
 #include "relay/clients.h"
 #include "relay/config.h"
 #include "relay/control.h"
+#include "relay/delivery_terms.h"
 #include "relay/directory.h"
 #include "relay/discovery.h"
 #include "relay/durable_clock.h"
@@ -51,14 +52,6 @@
     bool accepted = false;  // its record is written
     int64_t rules = 0;      // what its class allowed when it came, by number; 0: not told
   };
-  struct RetiredClass {  // a class as it was: clients learn of new settings a little later
-    Time until = 0;
-    Time give_up = 0;
-    bool gone = false;  // it is in the settings only for this
-  };
-  struct DeliveryTerms : policy::ClassSettings {  // as they were when a message came
-    int most_attempts = 0;
-  };
   struct RecoveredMessage {  // a message of the process before
     policy::MessageArrived in;
     DeliveryTerms rules;
@@ -86,11 +79,8 @@
   void recall();
   void follow();
   void told_by_registry(const nlohmann::json& line);
-  int64_t rules_now(const std::string& message_class);
-  static DeliveryTerms read_rules(const std::string& message_class, const std::string& text);
-  std::string rules_text(const policy::ClassSettings& message_class) const;
-  DeliveryTerms rules_of(const std::string& message_class, int64_t number) const;
-  void forget_rules();
+  DeliveryTerms terms_of(const std::string& message_class, int64_t number) const;
+  void forget_unused_terms();
   void arrive(const std::vector<RecoveredMessage>& messages);
   std::shared_ptr<policy::Settings> settings_told() const;
   int zone_of(const RecordedAttempt& sent) const;
@@ -110,9 +100,7 @@
   void remember(const policy::DestinationState& memory);
   void remember_host(const ListedHost& host);
   void forget_gone(const Endpoint& endpoint);
-  void retire(policy::Settings& next);
   void apply(const Config& next);
-  int class_of(const std::string& name) const;
   int tenant_of(const std::string& name) const;
   void accept_message(SubmittedMessage handed, Clients::Answer answer);
   void on_endpoint_list(const HostList& list);
@@ -135,9 +123,7 @@
 
   boost::asio::io_context& io_;
   Config config_;
-  std::map<std::string, RetiredClass> retired_;
-  std::map<std::string, int64_t>
-      delivery_terms_;  // of the settings' classes: the numbers that are remembered
+  RetiredClasses retired_;
   Directory directory_;
   std::unique_ptr<Control> control_;  // before the folder is taken over: its address may not be free
   Handover handover_;
@@ -146,6 +132,7 @@
   Descriptor listener_;  // of the process before
   Journal journal_;
   DurableClock clock_;  // of all times in the journal
+  DeliveryTermsStore delivery_terms_;
   FencingTokens fences_;
   policy::Policy policy_;
   std::vector<policy::Event> events_;
