--- /dev/null
+++ b/relay/message_ordering.cpp
@@ -0,0 +1,50 @@
+#include "relay/message_ordering.h"
+
+#include <algorithm>
+
+namespace turntally::relay {
+namespace {
+
+// Name of a fact in the journal, followed by the ordering key; its value is when the hold ends.
+const std::string kHoldFact = "rest ";
+
+struct RecordedHold {
+  std::string fact;
+  uint64_t ordering_key = 0;
+  Time until = 0;
+};
+
+std::vector<RecordedHold> recorded_holds(const Journal& journal) {
+  std::vector<RecordedHold> holds;
+  const auto& facts = journal.remembered();
+  for (auto it = facts.lower_bound(kHoldFact); it != facts.end() && it->first.starts_with(kHoldFact); ++it) {
+    holds.push_back({it->first, std::stoull(it->first.substr(kHoldFact.size())), std::stoll(it->second)});
+  }
+  return holds;
+}
+
+}  // namespace
+
+bool MessageOrdering::awaits_acknowledgement(uint64_t ordering_key) const {
+  return std::any_of(unacknowledged_.begin(), unacknowledged_.end(),
+                     [&](const auto& answer) { return answer.second == ordering_key; });
+}
+
+void MessageOrdering::hold(uint64_t ordering_key, Time pause) {
+  const Time now = clock_.now();
+  for (const RecordedHold& hold : recorded_holds(journal_)) {
+    if (hold.until <= now) journal_.remember(hold.fact, "");
+  }
+  journal_.remember(kHoldFact + std::to_string(ordering_key), std::to_string(now + pause));
+}
+
+std::vector<uint64_t> MessageOrdering::held_back_keys() const {
+  const Time now = clock_.now();
+  std::vector<uint64_t> keys;
+  for (const RecordedHold& hold : recorded_holds(journal_)) {
+    if (hold.until > now) keys.push_back(hold.ordering_key);
+  }
+  return keys;
+}
+
+}  // namespace turntally::relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -16,7 +16,6 @@
 const std::string kDestination = "destination ";
 const std::string kGone = "gone ";
 const std::string kSuspended = "suspended ";
-const std::string kRest = "rest ";  // by key: until when what is in order waits for a call that may run yet
 const std::string kRevision = "revision";
 const std::string kIdentity = "identity";
 const std::string kDestinations = "destinations";
@@ -123,6 +122,7 @@
       journal_(config.state, config.disk_bytes),
       clock_(clock_of(journal_)),
       delivery_terms_(journal_),
+      ordering_(journal_, clock_),
       policy_(within_descriptors(config), config.seed),
       wake_timer_(io),
       stop_timer_(io),
@@ -130,7 +130,7 @@
       notices_(io, config.discovery,
                [this](const std::string& id) {
                  journal_.record_acknowledged(id);
-                 untold_.erase(id);
+                 ordering_.acknowledge(id);
                }),
       upstream_(
           io, upstream_limits(config), config.report_fields,
@@ -390,29 +390,26 @@
 
 // Messages from before a restart are the module's to decide on, like any other.
 void Relay::resume() {
-  const Time now = clock_.now();
   std::vector<RecoveredMessage> arrivals;
   std::vector<policy::AttemptEnded> ends;
-  const auto& facts = journal_.remembered();
-  for (auto it = facts.lower_bound(kRest); it != facts.end() && it->first.starts_with(kRest); ++it) {
-    if (std::stoll(it->second) <= now) continue;
-    RecoveredMessage over;  // its message may be over, and is here for its call alone
-    over.rules.in_order = true;
-    over.in.id = ++last_number_;
-    over.in.tenant = -1;
-    over.in.ordering_key = std::stoull(it->first.substr(kRest.size()));
-    over.in.attempts = 1;
-    auto end = cut_off(over.in);
+  for (const uint64_t ordering_key : ordering_.held_back_keys()) {
+    RecoveredMessage finished;  // its message may have ended, and is here for its call alone
+    finished.rules.in_order = true;
+    finished.in.id = ++last_number_;
+    finished.in.tenant = -1;
+    finished.in.ordering_key = ordering_key;
+    finished.in.attempts = 1;
+    auto end = cut_off(finished.in);
     if (!end) continue;
     end->final = true;
     ends.push_back(std::move(*end));
-    arrivals.push_back(std::move(over));
+    arrivals.push_back(std::move(finished));
   }
   for (const Recovered& entry : journal_.recovered()) {
     if (entry.unacknowledged_answer) {
       const SubmittedMessage& over = entry.message;
       if (is_ordered(terms_of(over.message_class, entry.rules), over.ordering_key))
-        untold_[over.id] = over.ordering_key;
+        ordering_.add_unacknowledged(over.id, over.ordering_key);
       notices_.add(*entry.unacknowledged_answer);
       continue;
     }
@@ -452,9 +449,9 @@
     RecoveredMessage kept{in, terms_of(entry.message.message_class, entry.rules)};
     const int allowed = kept.rules.max_attempts > 0 ? kept.rules.max_attempts : config_.settings.max_attempts;
     kept.in.max_attempts = allowed + entry.attempts - entry.begun;
-    if (in.may_have_run && away == inherited_attempts_.end() && rests(kept.rules, in.ordering_key)) {
+    if (in.may_have_run && away == inherited_attempts_.end() && needs_hold(kept.rules, in.ordering_key)) {
       if (auto end = cut_off(kept.in)) ends.push_back(std::move(*end));
-      rest(in.ordering_key);
+      ordering_.hold(in.ordering_key, config_.settings.ordering_pause);
     }
     if (away != inherited_attempts_.end() && !resume_away(kept, away->second)) continue;
     arrivals.push_back(std::move(kept));
@@ -484,20 +481,8 @@
   return end;
 }
 
-bool Relay::rests(const policy::ClassSettings& rules, uint64_t about) const {
-  return is_ordered(rules, about) && config_.settings.ordering_pause > 0;
-}
-
-// The module holds what comes later under the key; the next process has to.
-void Relay::rest(uint64_t about) {
-  const Time now = clock_.now();
-  std::vector<std::string> over;
-  const auto& facts = journal_.remembered();
-  for (auto it = facts.lower_bound(kRest); it != facts.end() && it->first.starts_with(kRest); ++it) {
-    if (std::stoll(it->second) <= now) over.push_back(it->first);
-  }
-  for (const std::string& name : over) journal_.remember(name, "");
-  journal_.remember(kRest + std::to_string(about), std::to_string(now + config_.settings.ordering_pause));
+bool Relay::needs_hold(const policy::ClassSettings& terms, uint64_t ordering_key) const {
+  return is_ordered(terms, ordering_key) && config_.settings.ordering_pause > 0;
 }
 
 // Settings may list zones in another order than before. One that they do not name takes no repeat.
@@ -794,11 +779,11 @@
 
 // A message that ended by a notice is over for others only once that is taken, and one whose call is out in
 // the process before once the module is told of it: until then none that came later under its key goes out.
-bool Relay::has_turn(const PendingMessage& held) const {
+bool Relay::is_next_in_order(const PendingMessage& held) const {
   const uint64_t about = held.handed.ordering_key;
   if (about == 0) return true;
   const bool waits =
-      std::any_of(untold_.begin(), untold_.end(), [&](const auto& end) { return end.second == about; }) ||
+      ordering_.awaits_acknowledgement(about) ||
       std::any_of(inherited_attempts_.begin(), inherited_attempts_.end(), [&](const auto& entry) {
         const auto& untold = entry.second.untold;
         return untold && untold->in.ordering_key == about && untold->rules.in_order;
@@ -816,7 +801,7 @@
     return false;
   const auto wait = retry_after_until_.find(route_of(host->member));
   if (wait != retry_after_until_.end() && wait->second > steady_now()) return false;
-  if (!has_turn(held->second)) return false;
+  if (!is_next_in_order(held->second)) return false;
   net::log::debug("call", "id", held->second.handed.id, "attempt", call.attempt, "destination",
                   held->second.handed.destination, "host", host->id, "timeout_ms", call.timeout / kMs);
   const auto zone = static_cast<size_t>(host->member.zone);
@@ -849,8 +834,8 @@
                          end.outcome == policy::Outcome::kCancelled ||
                          end.outcome == policy::Outcome::kMalformedResponse;
     const SubmittedMessage& handed = held->second.handed;
-    if (hanging && rests(terms_of(handed.message_class, held->second.rules), handed.ordering_key))
-      rest(handed.ordering_key);
+    if (hanging && needs_hold(terms_of(handed.message_class, held->second.rules), handed.ordering_key))
+      ordering_.hold(handed.ordering_key, config_.settings.ordering_pause);
     if (end.final) {
       if (end.outcome == policy::Outcome::kOk) ++metrics_.classes[held->second.handed.message_class].success;
       finish(end.id, {});
@@ -1024,7 +1009,7 @@
     ++(notice->returned ? figures.overload : figures.error);
     const SubmittedMessage& over = held->second.handed;
     if (is_ordered(terms_of(over.message_class, held->second.rules), over.ordering_key))
-      untold_[over.id] = over.ordering_key;
+      ordering_.add_unacknowledged(over.id, over.ordering_key);
     publish_outcome({std::move(*notice), held->second.due});
   } else {
     journal_.record_acknowledged(held->second.handed.id);
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -22,6 +22,7 @@
 #include "relay/fence.h"
 #include "relay/handover.h"
 #include "relay/journal.h"
+#include "relay/message_ordering.h"
 #include "relay/metrics.h"
 #include "relay/upstream.h"
 
@@ -84,9 +85,8 @@
   void arrive(const std::vector<RecoveredMessage>& messages);
   std::shared_ptr<policy::Settings> settings_told() const;
   int zone_of(const RecordedAttempt& sent) const;
-  bool rests(const policy::ClassSettings& rules, uint64_t about) const;
-  bool has_turn(const PendingMessage& held) const;
-  void rest(uint64_t about);
+  bool needs_hold(const policy::ClassSettings& terms, uint64_t ordering_key) const;
+  bool is_next_in_order(const PendingMessage& held) const;
   std::optional<policy::AttemptEnded> cut_off(policy::MessageArrived& in) const;
   void open();
   void resume();
@@ -133,6 +133,7 @@
   Journal journal_;
   DurableClock clock_;  // of all times in the journal
   DeliveryTermsStore delivery_terms_;
+  MessageOrdering ordering_;
   FencingTokens fences_;
   policy::Policy policy_;
   std::vector<policy::Event> events_;
@@ -145,7 +146,6 @@
   std::map<std::pair<int, Endpoint>, Time> retry_after_until_;  // told waits: until when nothing goes there
   std::map<Endpoint, std::vector<Call>> joined_;  // what this turn sends to hosts that take bundles
   std::map<Endpoint, int> out_;                   // calls and probes out
-  std::map<std::string, uint64_t> untold_;        // notices nobody took yet, of messages in order: their keys
   Time wake_ = 0;                                 // when the module wants to be asked again; 0: never
   Time armed_ = 0;                                // and for when the timer is set
   boost::asio::steady_timer wake_timer_;
