--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -151,7 +151,7 @@
   }
 
   // As it was in the process before. The clock is the machine's, so the times hold.
-  void adopt(const std::string& text) {
+  void restore(const std::string& text) {
     const size_t end = text.find('\n');
     const auto state = nlohmann::json::parse(text.substr(0, end));
     since_ = state.at("since").get<Time>();
@@ -397,8 +397,8 @@
   return session;
 }
 
-void Clients::adopt(const std::string& state, int descriptor) {
-  add(tcp::socket(io_, protocol_, descriptor))->adopt(state);
+void Clients::add_inherited(const std::string& state, int descriptor) {
+  add(tcp::socket(io_, protocol_, descriptor))->restore(state);
 }
 
 void Clients::hand_over(Give give) {
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -52,8 +52,8 @@
   // Takes no new connection and gives those that are open away, each once it has been answered.
   void hand_over(Give give);
   int listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
-  bool answered() const;                                 // none waits for an answer to what was read
-  void adopt(const std::string& state, int descriptor);  // one that was given away
+  bool answered() const;                                         // none waits for an answer to what was read
+  void add_inherited(const std::string& state, int descriptor);  // one that was given away
 
  private:
   class Session;
--- /dev/null
+++ b/relay/descriptor_limits.cpp
@@ -0,0 +1,53 @@
+#include "relay/descriptor_limits.h"
+
+#include <algorithm>
+
+#include "relay/control.h"
+
+namespace turntally::relay {
+namespace {
+
+// Standard ones, event loop, signals, listeners, journal twice, watches, notices, handover.
+constexpr size_t kOwnDescriptors = 24;
+// Operators, and what another process needs during an upgrade beside clients and calls; less where few are
+// allowed.
+constexpr size_t kOtherDescriptors = Control::kMostCallers + 24;
+constexpr size_t kHealthChecks = 8;
+
+size_t other_descriptors(const Config& config) { return std::min(kOtherDescriptors, config.sockets / 8); }
+
+size_t own_descriptors(const Config& config) { return kOwnDescriptors + other_descriptors(config); }
+
+size_t max_calls(const Config& config) {
+  const size_t half = (config.sockets - own_descriptors(config)) / 2;
+  return std::min(half, static_cast<size_t>(config.settings.max_concurrent_calls) + kHealthChecks);
+}
+
+}  // namespace
+
+// One more operator is let in before another goes.
+size_t max_operators(const Config& config) {
+  return std::min(Control::kMostCallers, other_descriptors(config) - 1);
+}
+
+size_t max_clients(const Config& config) {
+  return std::min(config.sockets / 2, config.sockets - own_descriptors(config) - max_calls(config));
+}
+
+policy::Settings within_descriptors(const Config& config) {
+  policy::Settings settings = config.settings;
+  const size_t calls = max_calls(config);
+  settings.max_concurrent_calls = std::min(
+      settings.max_concurrent_calls, calls > kHealthChecks ? static_cast<int>(calls - kHealthChecks) : 1);
+  return settings;
+}
+
+Upstream::Limits upstream_limits(const Config& config) {
+  Upstream::Limits limits;
+  limits.connect_timeout = config.settings.connect_timeout;
+  limits.idle = config.settings.connection_idle_timeout;
+  limits.most_open = config.sockets - own_descriptors(config) - max_clients(config);
+  return limits;
+}
+
+}  // namespace turntally::relay
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -29,10 +29,10 @@
 
 // For an owner that ends rather than hands over, and for either side that is held up: what the other one
 // drops then is its clients.
-constexpr auto kMostWait = std::chrono::seconds(5);
+constexpr auto kPeerTimeout = std::chrono::seconds(5);
 constexpr auto kPoll = std::chrono::milliseconds(20);
-constexpr auto kOfferPause = std::chrono::milliseconds(50);
-constexpr size_t kMostParcel = 320 * 1024;  // a client's bytes: one read beside a command not yet whole
+constexpr auto kRetryPause = std::chrono::milliseconds(50);
+constexpr size_t kMaxFrameBytes = 320 * 1024;  // a client's bytes: one read beside a command not yet whole
 
 std::pair<sockaddr_un, socklen_t> local_address(const std::string& name) {
   sockaddr_un out{};
@@ -49,8 +49,8 @@
 }
 
 void set_up(int socket) {
-  const int bytes = kMostParcel;
-  const timeval most{kMostWait.count(), 0};
+  const int bytes = kMaxFrameBytes;
+  const timeval most{kPeerTimeout.count(), 0};
   ::setsockopt(socket, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes);
   ::setsockopt(socket, SOL_SOCKET, SO_SNDTIMEO, &most, sizeof most);
 }
@@ -62,16 +62,16 @@
 }
 
 Handover::Handover(boost::asio::io_context& io, const std::filesystem::path& folder)
-    : before_(io), listener_(io), after_(io), retry_(io) {
+    : predecessor_(io), listener_(io), successor_(io), retry_(io) {
   const auto lock = folder / "lock";
-  lock_ = Descriptor(net::open_file(lock, O_RDWR | O_CREAT, kMostWait));
+  lock_ = Descriptor(net::open_file(lock, O_RDWR | O_CREAT, kPeerTimeout));
   struct stat about {};
   if (lock_.get() < 0 || ::fstat(lock_.get(), &about) != 0) {
     throw StateUnusable("cannot open " + lock.string() + ": " + std::strerror(errno));
   }
   name_ = "umberhoist-" + std::to_string(about.st_dev) + "-" + std::to_string(about.st_ino);
-  const auto until = std::chrono::steady_clock::now() + kMostWait;
-  while (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0 && !ask()) {
+  const auto until = std::chrono::steady_clock::now() + kPeerTimeout;
+  while (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0 && !request_folder_lock()) {
     if (std::chrono::steady_clock::now() > until) {
       throw NotHandedOver(folder.string());
     }
@@ -79,7 +79,7 @@
   }
 }
 
-bool Handover::ask() {
+bool Handover::request_folder_lock() {
   Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   const auto [address, size] = local_address(name_);
   set_up(socket.get());
@@ -87,28 +87,28 @@
       !trusted(socket.get())) {
     return false;
   }
-  before_.assign(socket.release());
+  predecessor_.assign(socket.release());
   auto folder = next_frame();
   if (folder && folder->kind == HandoverFrame::kFolder && folder->descriptor.get() >= 0) {
     lock_ = std::move(folder->descriptor);
     return true;
   }
-  before_.close();
+  predecessor_.close();
   return false;
 }
 
 // A signal may come meanwhile: it is dealt with once the process has begun.
 std::optional<HandoverFrame> Handover::next_frame() {
   using std::chrono::milliseconds;
-  const auto until = std::chrono::steady_clock::now() + kMostWait;
-  pollfd waiting{before_.native_handle(), POLLIN, 0};
+  const auto until = std::chrono::steady_clock::now() + kPeerTimeout;
+  pollfd waiting{predecessor_.native_handle(), POLLIN, 0};
   int ready = 0;
   do {
     const auto left = std::chrono::ceil<milliseconds>(until - std::chrono::steady_clock::now());
     ready = ::poll(&waiting, 1, static_cast<int>(std::max(left, milliseconds(0)).count()));
   } while (ready < 0 && errno == EINTR);
   if (ready <= 0) return {};
-  return receive(before_);
+  return receive(predecessor_);
 }
 
 bool Handover::send(Stream& to, HandoverFrame::Kind kind, const std::string& text, int descriptor) {
@@ -136,7 +136,7 @@
 }
 
 std::optional<HandoverFrame> Handover::receive(Stream& from) {
-  std::vector<char> bytes(kMostParcel);
+  std::vector<char> bytes(kMaxFrameBytes);
   iovec part{bytes.data(), bytes.size()};
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))];
   msghdr message{};
@@ -162,68 +162,68 @@
   return out;
 }
 
-void Handover::listen_to(Stream& from, Heard heard) {
+void Handover::listen_to(Stream& from, FrameHandler handler) {
   if (!from.is_open()) return;
-  from.async_wait(Stream::wait_read, [this, &from, heard = std::move(heard)](const Error& error) {
+  from.async_wait(Stream::wait_read, [this, &from, handler = std::move(handler)](const Error& error) {
     if (error) return;
-    auto parcel = receive(from);
-    const bool gone = !parcel;
-    heard(std::move(parcel));
-    gone ? from.close() : listen_to(from, heard);
+    auto frame = receive(from);
+    const bool gone = !frame;
+    handler(std::move(frame));
+    gone ? from.close() : listen_to(from, handler);
   });
 }
 
-void Handover::offer(std::function<void()> asked) {
-  asked_ = std::move(asked);
+void Handover::await_successor(std::function<void()> on_successor) {
+  on_successor_ = std::move(on_successor);
   Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   const auto [address, size] = local_address(name_);
   if (socket.get() < 0 || ::bind(socket.get(), reinterpret_cast<const sockaddr*>(&address), size) != 0 ||
       ::listen(socket.get(), 4) != 0) {
-    if (net::is_passing_shortage(Error(errno, boost::system::system_category()))) return offer_later();
+    if (net::is_passing_shortage(Error(errno, boost::system::system_category()))) return retry_await();
     // Some platforms refuse local sockets. Only an upgrade under load needs one.
     net::log::failed(net::log::Level::kWarn, "no_handover", NoHandover(std::strerror(errno)));
     return;
   }
   listener_.assign(socket.release());
-  await_successor();
+  accept_successor();
 }
 
-void Handover::offer_later() {
-  retry_.expires_after(kOfferPause);
+void Handover::retry_await() {
+  retry_.expires_after(kRetryPause);
   retry_.async_wait([this](const Error& error) {
-    if (!error) offer(std::move(asked_));
+    if (!error) await_successor(std::move(on_successor_));
   });
 }
 
-void Handover::await_successor() {
+void Handover::accept_successor() {
   listener_.async_wait(Stream::wait_read, [this](const Error& error) {
     if (error) return;
     Descriptor socket(::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC));
-    if (socket.get() < 0 || !trusted(socket.get())) return await_successor();
+    if (socket.get() < 0 || !trusted(socket.get())) return accept_successor();
     set_up(socket.get());
-    after_.assign(socket.release());
-    asked_();
+    successor_.assign(socket.release());
+    on_successor_();
   });
 }
 
-// One that takes nothing any more must not hold this process up with each parcel.
+// One that takes nothing any more must not hold this process up with each frame.
 bool Handover::send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor) {
-  if (send(after_, kind, text, descriptor)) return true;
-  if (after_.is_open()) after_.close();
+  if (send(successor_, kind, text, descriptor)) return true;
+  if (successor_.is_open()) successor_.close();
   return false;
 }
 
-bool Handover::give_folder() {
+bool Handover::send_folder_lock() {
   listener_.close();  // the successor offers the next one under the same name
   if (!send_frame(HandoverFrame::kFolder, "", lock_.get())) return false;
   lock_ = Descriptor();
   return true;
 }
 
-void Handover::withdraw() {
+void Handover::drop_successor() {
   listener_.close();
-  after_.close();
-  offer(std::move(asked_));
+  successor_.close();
+  await_successor(std::move(on_successor_));
 }
 
 }  // namespace turntally::relay
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -46,48 +46,49 @@
 
 class Handover {
  public:
-  using Heard = std::function<void(std::optional<HandoverFrame>)>;  // nothing: the other process is gone
+  using FrameHandler =
+      std::function<void(std::optional<HandoverFrame>)>;  // nothing: the other process is gone
 
   // Waits until the folder is this process's own: free, or given by its owner. Throws StateUnusable or
   // NotHandedOver if it becomes neither.
   Handover(boost::asio::io_context& io, const std::filesystem::path& folder);
 
-  bool taken_over() const { return before_.is_open(); }
+  bool taken_over() const { return predecessor_.is_open(); }
 
-  // From the process before: the next parcel, waited for unless that process is gone or stalls; and all that
+  // From the process before: the next frame, waited for unless that process is gone or stalls; and all that
   // come later.
   std::optional<HandoverFrame> next_frame();
-  void hear(Heard heard) { listen_to(before_, std::move(heard)); }
-  bool tell_before(HandoverFrame::Kind kind, const std::string& text) {
-    return send(before_, kind, text, -1);
+  void listen_to_predecessor(FrameHandler handler) { listen_to(predecessor_, std::move(handler)); }
+  bool send_to_predecessor(HandoverFrame::Kind kind, const std::string& text) {
+    return send(predecessor_, kind, text, -1);
   }
 
-  // Calls `asked` once, when a process asks to take over. It is then given parcels, kFolder first. Where the
-  // platform has no local sockets nobody can ask: the log says so in one line.
-  void offer(std::function<void()> asked);
-  bool give_folder();
+  // Calls `on_successor` once, when a process asks to take over. It is then given parcels, kFolder first.
+  // Where the platform has no local sockets nobody can ask: the log says so in one line.
+  void await_successor(std::function<void()> on_successor);
+  bool send_folder_lock();
   bool send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor = -1);
-  void hear_successor(Heard heard) { listen_to(after_, std::move(heard)); }
-  bool has_successor() const { return after_.is_open(); }
-  void withdraw();  // it could not be given: the next that asks is waited for
+  void listen_to_successor(FrameHandler handler) { listen_to(successor_, std::move(handler)); }
+  bool has_successor() const { return successor_.is_open(); }
+  void drop_successor();  // it could not be given: the next that asks is waited for
 
  private:
   using Stream = boost::asio::posix::stream_descriptor;
 
-  bool ask();
+  bool request_folder_lock();
   static bool send(Stream& to, HandoverFrame::Kind kind, const std::string& text, int descriptor);
   static std::optional<HandoverFrame> receive(Stream& from);
-  void listen_to(Stream& from, Heard heard);
-  void await_successor();
-  void offer_later();  // sockets run short for a moment
+  void listen_to(Stream& from, FrameHandler handler);
+  void accept_successor();
+  void retry_await();  // sockets run short for a moment
 
   Descriptor lock_;
   std::string name_;  // of the local socket
-  Stream before_;
+  Stream predecessor_;
   Stream listener_;
-  Stream after_;
+  Stream successor_;
   boost::asio::steady_timer retry_;
-  std::function<void()> asked_;
+  std::function<void()> on_successor_;
 };
 
 }  // namespace turntally::relay
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -136,7 +136,7 @@
   size_ = at;
   // What is written behind a torn record would be lost: where it cannot be cut off the file is written anew
   // first.
-  behind_ = at < bytes.size() && ::ftruncate(file_, static_cast<off_t>(at)) != 0;
+  incomplete_ = at < bytes.size() && ::ftruncate(file_, static_cast<off_t>(at)) != 0;
   std::vector<Recovered> left;
   for (size_t i = 0; i < recovered_.size(); ++i) {
     const auto place = places.find(recovered_[i].message.id);
@@ -149,17 +149,17 @@
   Reader in(record);
   const char kind = in.kind();
   const std::string id = in.text();
-  if (kind == kFact) return keep_fact(id, in.text());
+  if (kind == kFact) return set_fact(id, in.text());
   if (kind == kAccepted) {
     Recovered entry;
     entry.message.id = id;
     entry.message.message_class = in.text();
     entry.message.key = in.text();
     entry.message.destination = static_cast<int>(in.number());
-    entry.due = in.number();
+    entry.deadline = in.number();
     entry.message.body = in.text();
     if (in.more()) entry.message.tenant = in.text();  // none of these is in older records
-    if (in.more()) entry.rules = in.number();
+    if (in.more()) entry.terms_number = in.number();
     if (in.more()) entry.message.ordering_key = static_cast<uint64_t>(in.number());
     places[id] = recovered_.size();
     recovered_.push_back(std::move(entry));
@@ -174,10 +174,10 @@
     const Time sent = in.number();
     if (number >= entry.attempts) ++entry.begun;  // a call that needs a new connection is put on record again
     entry.attempts = number + 1;
-    RecordedAttempt& attempt = entry.unsettled[number] = {sent, static_cast<int>(in.number()), ""};
+    RecordedAttempt& attempt = entry.possibly_run[number] = {sent, static_cast<int>(in.number()), ""};
     if (in.more()) attempt.zone_name = in.text();  // not in older records
   } else if (kind == kNeverRan) {
-    entry.unsettled.erase(static_cast<int>(in.number()));
+    entry.possibly_run.erase(static_cast<int>(in.number()));
   } else if (kind == kOwed) {
     const bool returned = in.number() != 0;
     entry.unacknowledged_answer = FinalAnswer{id, returned, in.number()};
@@ -193,7 +193,7 @@
   live_bytes_ += kHeader + record.size();
 }
 
-void Journal::keep_fact(const std::string& name, const std::string& value) {
+void Journal::set_fact(const std::string& name, const std::string& value) {
   const auto old = remembered_.find(name);
   if (old != remembered_.end()) {
     live_bytes_ -= framed(Writer(kFact, name).text(old->second).payload()).size();
@@ -207,7 +207,7 @@
 void Journal::remember(const std::string& name, const std::string& value) {
   const auto old = remembered_.find(name);
   if (value == (old == remembered_.end() ? "" : old->second)) return;
-  keep_fact(name, value);
+  set_fact(name, value);
   write(framed(Writer(kFact, name).text(value).payload()));
 }
 
@@ -217,9 +217,9 @@
     unsynced_ = true;
     remember(kSynced + name, value);
   }
-  if (!settle()) return false;
+  if (!write_pending()) return false;
   if (unsynced_ && !sync()) {
-    behind_ = true;  // the next sync of the same file may say yes to what is lost: it is written anew
+    incomplete_ = true;  // the next sync of the same file may say yes to what is lost: it is written anew
     return false;
   }
   unsynced_ = false;
@@ -236,15 +236,15 @@
   return done;
 }
 
-bool Journal::record_accepted(const SubmittedMessage& m, Time due, int64_t rules) {
+bool Journal::record_accepted(const SubmittedMessage& m, Time deadline, int64_t terms_number) {
   Writer out(kAccepted, m.id);
   out.text(m.message_class)
       .text(m.key)
       .number(m.destination)
-      .number(due)
+      .number(deadline)
       .text(m.body)
       .text(m.tenant)
-      .number(rules)
+      .number(terms_number)
       .number(static_cast<int64_t>(m.ordering_key));
   const size_t bytes = kHeader + out.payload().size() + kReserve;
   if (static_cast<double>(live_bytes_ + bytes) > kAcceptPart * static_cast<double>(most_file_)) return false;
@@ -305,12 +305,12 @@
 // The live records already hold what is written here, so a compaction writes it too; also what could not be
 // written before: the file stays behind them until one succeeds.
 bool Journal::write(std::string_view bytes) {
-  if (behind_) return compact();
+  if (incomplete_) return compact();
   if (size_ + bytes.size() > most_file_ && compact()) return true;
-  behind_ = true;
+  incomplete_ = true;
   if (size_ + bytes.size() > most_file_) return false;
   if (write_all(file_, bytes)) {
-    behind_ = false;
+    incomplete_ = false;
     size_ += bytes.size();
     return true;
   }
@@ -338,7 +338,7 @@
   ::close(file_);
   file_ = fresh;
   size_ = bytes.size();
-  behind_ = false;
+  incomplete_ = false;
   return true;
 }
 
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -20,12 +20,12 @@
 
 struct Recovered {
   SubmittedMessage message;
-  Time due = 0;                              // by the DurableClock, as all times here
-  int attempts = 0;                          // one more than the last one's number
-  int begun = 0;                             // of these, those that began a call
-  std::map<int, RecordedAttempt> unsettled;  // attempts that may have run
+  Time deadline = 0;                            // by the DurableClock, as all times here
+  int attempts = 0;                             // one more than the last one's number
+  int begun = 0;                                // of these, those that began a call
+  std::map<int, RecordedAttempt> possibly_run;  // attempts that may have run
   std::optional<FinalAnswer> unacknowledged_answer;
-  int64_t rules = 0;  // as told with it; 0: not told
+  int64_t terms_number = 0;  // as told with it; 0: not told
 };
 
 class Journal {
@@ -43,18 +43,18 @@
   // What was remembered last under each name.
   const std::map<std::string, std::string>& remembered() const { return remembered_; }
 
-  // False: there is no room or it could not be written, and the message must not be taken on. `rules`: what
-  // its class allows, by a number that the caller remembers.
-  bool record_accepted(const SubmittedMessage& message, Time due, int64_t rules = 0);
+  // False: there is no room or it could not be written, and the message must not be taken on. `terms_number`:
+  // what its class allows, by a number that the caller remembers.
+  bool record_accepted(const SubmittedMessage& message, Time deadline, int64_t terms_number = 0);
   // False: it could not be written, and the call must not start.
   bool record_attempt(const std::string& id, int number, Time sent, int zone,
                       const std::string& zone_name = {});
   void record_not_started(const std::string& id, int number);
-  // False: not written yet; settle() does it. Until then the next process knows nothing of the end.
+  // False: not written yet; write_pending() does it. Until then the next process knows nothing of the end.
   bool record_final_answer(const FinalAnswer& notice);
   void record_acknowledged(const std::string& id);
   // Writes what a full disk held back; false where there is still no room.
-  bool settle() { return !behind_ || compact(); }
+  bool write_pending() { return !incomplete_ || compact(); }
   // A fact beside the messages; the last value of a name counts, an empty one forgets it.
   void remember(const std::string& name, const std::string& value);
   // A fact, under kSynced + name, that outlasts the machine's end too: true once it is on the disk. False:
@@ -65,7 +65,7 @@
  private:
   void replay();
   void apply(std::string_view record, std::map<std::string, size_t>& places);
-  void keep_fact(const std::string& name, const std::string& value);
+  void set_fact(const std::string& name, const std::string& value);
   bool append(const std::string& id, const std::string& payload);
   bool write(std::string_view bytes);
   bool compact();
@@ -76,7 +76,7 @@
   size_t most_file_;  // one file's size; while it is compacted there are two
   int file_ = -1;
   size_t size_ = 0;
-  bool behind_ = false;   // something that stands in the live records could not be written
+  bool incomplete_ = false;  // something that stands in the live records could not be written
   bool unsynced_ = true;  // facts that must outlast the machine may not be on the disk: not known at a start
   size_t live_bytes_ = 0;
   uint64_t order_ = 0;
--- a/relay/message.h
+++ b/relay/message.h
@@ -29,6 +29,12 @@
   Time retry_after = 0;   // with returned: when to come again; 0: not told
 };
 
+// Whether an attempt with this outcome certainly did not run at its endpoint.
+inline bool never_ran(policy::Outcome outcome) {
+  return outcome == policy::Outcome::kRejected || outcome == policy::Outcome::kConnectFailed ||
+         outcome == policy::Outcome::kNotStarted;
+}
+
 using net::at_time;
 using net::steady_now;
 using net::wall_now;
--- /dev/null
+++ b/relay/pending_messages.h
@@ -0,0 +1,48 @@
+// The messages that this process has and that have not ended.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <unordered_map>
+
+#include "relay/message.h"
+
+namespace turntally::relay {
+
+struct PendingMessage {
+  SubmittedMessage submitted;
+  Time deadline = 0;         // microseconds of the steady clock
+  int attempts = 0;          // the number of the next attempt
+  bool accepted = false;     // its record is in the journal
+  int64_t terms_number = 0;  // of its DeliveryTerms; 0: not recorded
+};
+
+// Owns the messages and the numbers under which the policy knows them. Numbers rise and are never used twice.
+// Invariant: no two messages have the same id. A message's address holds until it is erased.
+class PendingMessages {
+ public:
+  uint64_t next_number() { return ++last_number_; }
+  uint64_t last_number() const { return last_number_; }
+
+  PendingMessage& add(uint64_t number, PendingMessage message);
+  void erase(uint64_t number);
+
+  // Null: there is none, or it has ended.
+  PendingMessage* find(uint64_t number);
+  const PendingMessage* find(uint64_t number) const;
+  std::optional<uint64_t> number_of(const std::string& id) const;
+
+  bool empty() const { return messages_.empty(); }
+  size_t size() const { return messages_.size(); }
+  size_t accepted_count() const;
+  size_t count_up_to(uint64_t number) const;
+  const std::unordered_map<uint64_t, PendingMessage>& all() const { return messages_; }
+
+ private:
+  uint64_t last_number_ = 0;
+  std::unordered_map<uint64_t, PendingMessage> messages_;
+  std::unordered_map<std::string, uint64_t> numbers_;  // by message id
+};
+
+}  // namespace turntally::relay
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -1,5 +1,5 @@
-// The relay: the only owner of the decision module. Collects what happens, lets the module decide once a turn
-// of the event loop, and carries its decisions out.
+// The relay: the only owner of the decision module. Collects events, lets the policy decide once a turn of
+// the event loop, and carries its actions out.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,9 +9,9 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
+#include "relay/call_batches.h"
 #include "relay/clients.h"
 #include "relay/config.h"
 #include "relay/control.h"
@@ -20,22 +20,31 @@
 #include "relay/discovery.h"
 #include "relay/durable_clock.h"
 #include "relay/fence.h"
+#include "relay/final_answer_publisher.h"
 #include "relay/handover.h"
+#include "relay/handover_frames.h"
 #include "relay/journal.h"
 #include "relay/message_ordering.h"
 #include "relay/metrics.h"
+#include "relay/pending_messages.h"
+#include "relay/route_waits.h"
 #include "relay/upstream.h"
 
 namespace turntally::relay {
 
+// Times are microseconds: of the steady clock in this process, of the DurableClock in the journal.
+// Invariants: a message is accepted only with its record in the journal, and a call starts only with its
+// attempt's record there. After a hand-over nothing is written and the policy decides no more.
+// The methods are defined by concern: relay.cpp (lifecycle, reload, shutdown), relay_endpoints.cpp,
+// relay_recovery.cpp, relay_submission.cpp, relay_dispatch.cpp, relay_handover.cpp, relay_operators.cpp.
 class Relay {
  public:
-  // Reads the journal, hears discovery if it answers, then opens the listener and says so. Throws
-  // std::exception where it cannot serve.
+  // Reads the journal, follows discovery if it answers, then opens the listener and calls `listening` with
+  // its address. Throws std::exception where it cannot serve.
   Relay(boost::asio::io_context& io, const Config& config,
         std::function<void(const tcp::endpoint&)> listening);
 
-  // Takes the new configuration's discovery and settings over; the rest of it holds from the next start on.
+  // Takes the new configuration's discovery and settings over; the rest of it applies from the next start on.
   // Where it cannot be read, or something in it is missing or out of range, all stays as it was.
   void reload();
 
@@ -46,122 +55,157 @@
   std::optional<tcp::endpoint> control_address() const;
 
  private:
-  struct PendingMessage {
-    SubmittedMessage handed;
-    Time due = 0;
-    int attempts = 0;
-    bool accepted = false;  // its record is written
-    int64_t rules = 0;      // what its class allowed when it came, by number; 0: not told
+  // A message of the process before.
+  struct RecoveredMessage {
+    policy::MessageArrived arrival;
+    DeliveryTerms terms;
   };
-  struct RecoveredMessage {  // a message of the process before
-    policy::MessageArrived in;
-    DeliveryTerms rules;
+
+  // What the recovery tells the policy, in this order.
+  struct Recovery {
+    std::vector<RecoveredMessage> arrivals;
+    std::vector<policy::AttemptEnded> ends;
   };
-  struct InheritedAttempt {  // a message whose call the process before still has out
-    uint64_t number = 0;
+
+  // A message's attempt in a call that the predecessor still has in flight.
+  struct InheritedAttempt {
+    uint64_t number = 0;  // of the message; 0: it was not recovered yet
     int attempt = 0;
     policy::MessageArrived::InFlightCall call;
-    std::optional<RecoveredMessage> untold;  // its host is not listed any more: told once the call has ended
+    // Its endpoint is not listed any more: the policy learns of the message once the call has ended.
+    std::optional<RecoveredMessage> deferred;
   };
-  struct UnrecordedEnd {  // the disk did not take its record: told once it has, or when no process calls the
-                          // message any more
-    FinalAnswer notice;
-    Time due = 0;
-  };
-  struct Pending {  // handed in during this turn, not yet decided on
+
+  // A message submitted during this turn, which the policy has not decided on yet.
+  struct Submission {
     uint64_t number = 0;
     Clients::Answer answer;
   };
 
-  Metrics metrics() const;
-  OperatorReply suspend(const std::string& id, bool out);
-  OperatorReply operate(const OperatorCall& call);
-  void fence(const LeaseClaim& claim);
-  void recall();
-  void follow();
-  void told_by_registry(const nlohmann::json& line);
-  DeliveryTerms terms_of(const std::string& message_class, int64_t number) const;
-  void forget_unused_terms();
-  void arrive(const std::vector<RecoveredMessage>& messages);
-  std::shared_ptr<policy::Settings> settings_told() const;
-  int zone_of(const RecordedAttempt& sent) const;
-  bool needs_hold(const policy::ClassSettings& terms, uint64_t ordering_key) const;
-  bool is_next_in_order(const PendingMessage& held) const;
-  std::optional<policy::AttemptEnded> cut_off(policy::MessageArrived& in) const;
+  // Lifecycle, reload and shutdown: relay.cpp.
   void open();
-  void resume();
-  void take_over();
-  bool resume_away(RecoveredMessage& kept, InheritedAttempt& away);
-  void on_predecessor_frame(std::optional<HandoverFrame> parcel);
-  void away_ended(const std::string& id, policy::AttemptEnded end, bool began);
-  void hand_over();
-  void give_up_calls();
-  void pass_on(const std::string& id, const policy::AttemptEnded& end, bool began);
-  void remember(const policy::DestinationState& memory);
-  void remember_host(const ListedHost& host);
-  void forget_gone(const Endpoint& endpoint);
   void apply(const Config& next);
-  int tenant_of(const std::string& name) const;
-  void accept_message(SubmittedMessage handed, Clients::Answer answer);
+  void note_excess_messages();
+  std::shared_ptr<policy::Settings> policy_settings() const;
+  Time calls_end_by() const;
+  void wait_for_end();
+  bool handed_over_and_done() const;
+  bool idle() const;
+
+  // The list of endpoints: relay_endpoints.cpp.
+  void follow_registry();
+  void on_registry_list(const nlohmann::json& line);
   void on_endpoint_list(const HostList& list);
-  bool may_start(const Call& call);
-  void ended(const policy::AttemptEnded& end, bool began);
+  void record_endpoint(const ListedHost& host);
+  void forget_gone(const Endpoint& endpoint);
   void on_endpoint_idle(const Endpoint& endpoint);
+  Route route_of(const policy::EndpointInfo& endpoint) const;
+
+  // Recovery from the journal: relay_recovery.cpp.
+  void recover_endpoints();
+  void recover_fact(const std::string& name, const nlohmann::json& value);
+  policy::DestinationState recovered_state(const std::string& name, const nlohmann::json& value) const;
+  void recover_messages();
+  void recover_ordering_holds(Recovery& recovery);
+  void recover_final_answer(const Recovered& entry);
+  void recover_message(const Recovered& entry, Recovery& recovery);
+  InheritedAttempt* find_inherited(const Recovered& entry);
+  bool resume_inherited(RecoveredMessage& message, InheritedAttempt& inherited);
+  std::optional<policy::AttemptEnded> interrupted_call(policy::MessageArrived& arrival) const;
+  void arrive(const std::vector<RecoveredMessage>& messages);
+  int zone_of(const RecordedAttempt& attempt) const;
+  void persist(const policy::DestinationState& state);
+
+  // Submission of messages, and their terms and order: relay_submission.cpp.
+  void accept_message(SubmittedMessage message, Clients::Answer answer);
+  std::optional<std::string> rejection(const SubmittedMessage& message);
+  void submit(SubmittedMessage message, Clients::Answer answer);
+  void answer_submissions(const std::vector<policy::Action>& actions);
+  std::string decide_submission(uint64_t number, const std::map<uint64_t, std::string>& rejections);
+  DeliveryTerms terms_of(const PendingMessage& message) const;
+  void forget_unused_terms();
+  bool needs_hold(const policy::ClassSettings& terms, uint64_t ordering_key) const;
+  bool is_next_in_order(const PendingMessage& message) const;
+  bool awaits_deferred_message(uint64_t ordering_key) const;
+  int tenant_index(const std::string& name) const;
+
+  // Decisions and calls: relay_dispatch.cpp.
   void queue_event(policy::Event event);
   void step();
-  void answer_pending(const std::vector<policy::Action>& actions);
+  void schedule_timer();
   void carry_out(const policy::Action& action);
-  void join(Call call, int kind);
-  void start_call(std::vector<Call> bundle);
-  void finish(uint64_t number, std::optional<FinalAnswer> notice);
-  void publish_outcome(UnrecordedEnd end);
-  void record_ends();
-  void arm();
-  Time closing_at() const;
-  void wait_for_end();
-  std::pair<int, Endpoint> route_of(const policy::EndpointInfo& member) const;
+  void send_attempt(const policy::SendAttempt& action);
+  void attempt_not_started(const policy::SendAttempt& action, PendingMessage* message);
+  void cancel_attempt(const policy::Cancel& action);
+  void send_health_check(const policy::SendHealthCheck& action);
+  void add_to_batch(Call call, int kind);
+  void start_call(std::vector<Call> batch);
+  bool may_start(const Call& call);
+  void on_attempt_ended(const policy::AttemptEnded& end, bool call_started);
+  void note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message);
+  void record_attempt_end(const policy::AttemptEnded& end, bool call_started, const PendingMessage& message);
+  void finish(uint64_t number, std::optional<FinalAnswer> answer);
+
+  // Hand-over from the predecessor and to the successor: relay_handover.cpp.
+  void take_over();
+  void on_predecessor_frame(std::optional<HandoverFrame> frame);
+  void on_predecessor_gone();
+  void on_inherited_attempt_ended(const std::string& id, policy::AttemptEnded end, bool call_started);
+  void arrive_deferred(const InheritedAttempt& inherited, const policy::AttemptEnded& end, bool call_started);
+  void hand_over();
+  void send_in_flight_calls();
+  void send_listener();
+  void send_clients();
+  void on_successor_frame(const std::optional<HandoverFrame>& frame);
+  void pass_on(const std::string& id, const policy::AttemptEnded& end, bool call_started);
+  void cancel_all_calls();
+
+  // Operators' calls: relay_operators.cpp.
+  OperatorReply operate(const OperatorCall& call);
+  OperatorReply readiness() const;
+  OperatorReply set_draining(bool draining);
+  OperatorReply suspend(const std::string& id, bool suspended);
+  void fence(const LeaseClaim& claim);
+  Metrics metrics() const;
 
   boost::asio::io_context& io_;
   Config config_;
-  RetiredClasses retired_;
+  RetiredClasses retired_classes_;
   Directory directory_;
   std::unique_ptr<Control> control_;  // before the folder is taken over: its address may not be free
   Handover handover_;
-  bool handed_over_ = false;  // all but the calls that were out is another process's
-  std::map<std::string, InheritedAttempt> inherited_attempts_;
-  Descriptor listener_;  // of the process before
+  bool handed_over_ = false;  // all but the calls in flight is another process's
+  std::map<std::string, InheritedAttempt> inherited_attempts_;  // by message id
+  Descriptor listener_;                                         // of the predecessor
   Journal journal_;
   DurableClock clock_;  // of all times in the journal
   DeliveryTermsStore delivery_terms_;
   MessageOrdering ordering_;
-  FencingTokens fences_;
+  FencingTokens fencing_tokens_;
   policy::Policy policy_;
   std::vector<policy::Event> events_;
-  std::vector<Pending> pending_;
+  std::vector<Submission> submissions_;
   bool step_posted_ = false;
-  uint64_t last_number_ = 0;
-  uint64_t last_over_ = 0;  // up to this number they were taken on under a greater cap; 0: none
-  std::unordered_map<uint64_t, PendingMessage> pending_messages_;
-  std::unordered_map<std::string, uint64_t> numbers_;
-  std::map<std::pair<int, Endpoint>, Time> retry_after_until_;  // told waits: until when nothing goes there
-  std::map<Endpoint, std::vector<Call>> joined_;  // what this turn sends to hosts that take bundles
-  std::map<Endpoint, int> out_;                   // calls and probes out
-  Time wake_ = 0;                                 // when the module wants to be asked again; 0: never
-  Time armed_ = 0;                                // and for when the timer is set
+  PendingMessages messages_;
+  uint64_t last_excess_ = 0;  // up to this number they were accepted under a greater cap; 0: none
+  RouteWaits route_waits_;
+  CallBatches batches_;
+  std::map<Endpoint, int> in_flight_;  // calls and health checks
+  Time wake_at_ = 0;                   // when the policy wants its next step; 0: never
+  Time timer_set_for_ = 0;             // 0: not set
   boost::asio::steady_timer wake_timer_;
   boost::asio::steady_timer stop_timer_;
-  boost::asio::steady_timer record_timer_;
-  std::vector<UnrecordedEnd> unrecorded_ends_;
   Time stopping_since_ = 0;  // 0: not stopping
-  bool closed_ = false;      // clients were let go
+  bool clients_finished_ = false;
   Notices notices_;
+  FinalAnswerPublisher final_answers_;
   Upstream upstream_;
-  std::optional<Watch> watch_;                   // on discovery; or
-  std::optional<registry::ListFollower> fleet_;  // on the registry
-  std::string identity_;                         // of the registry's list; empty: the list is discovery's
+  std::optional<Watch> watch_;                      // on discovery; or
+  std::optional<registry::ListFollower> follower_;  // of the registry
+  std::string list_identity_;                       // of the registry's list; empty: it is discovery's
   std::function<void(const tcp::endpoint&)> listening_;
   boost::asio::steady_timer open_timer_;
-  std::optional<Clients> clients_;  // once what was taken on before is resumed
+  std::optional<Clients> clients_;  // once the messages of before are recovered
   bool draining_ = false;
   Metrics metrics_;  // what is counted here; the rest is looked up
 };
--- /dev/null
+++ b/relay/relay_dispatch.cpp
@@ -0,0 +1,242 @@
+// The relay's turns: the policy decides, and its actions are carried out; calls start and end.
+#include <algorithm>
+#include <array>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "net/log.h"
+#include "relay/relay.h"
+
+namespace turntally::relay {
+namespace {
+
+constexpr Time kMs = 1000;
+
+// Names of outcomes in the log.
+const char* log_name(policy::Outcome outcome) {
+  constexpr std::array<const char*, 9> kNames = {"ok",    "error",     "full", "timeout", "connect_failed",
+                                                 "reset", "cancelled", "moot", "spoilt"};
+  return kNames[static_cast<size_t>(outcome)];
+}
+
+// What the log says became of a message.
+const char* log_state(const std::optional<FinalAnswer>& answer) {
+  if (!answer) return "settled";
+  return answer->returned ? "returned" : "failed";
+}
+
+// The call may still run at its endpoint.
+bool may_still_run(policy::Outcome outcome) {
+  return outcome == policy::Outcome::kTimeout || outcome == policy::Outcome::kReset ||
+         outcome == policy::Outcome::kCancelled || outcome == policy::Outcome::kMalformedResponse;
+}
+
+}  // namespace
+
+void Relay::queue_event(policy::Event event) {
+  if (handed_over_) return;
+  events_.push_back(std::move(event));
+  if (step_posted_) return;
+  step_posted_ = true;
+  boost::asio::post(io_, [this] { step(); });
+}
+
+void Relay::step() {
+  step_posted_ = false;
+  if (handed_over_) return;
+  std::vector<policy::Event> events;
+  events.swap(events_);
+  std::vector<policy::Action> actions;
+  policy_.step(steady_now(), events, actions);
+  answer_submissions(actions);
+  for (const policy::Action& action : actions) carry_out(action);
+  for (std::vector<Call>& batch : batches_.take_all()) start_call(std::move(batch));
+  schedule_timer();
+}
+
+void Relay::schedule_timer() {
+  if (wake_at_ == timer_set_for_) return;
+  timer_set_for_ = wake_at_;
+  if (timer_set_for_ == 0) return;
+  wake_timer_.expires_at(at_time(timer_set_for_));
+  wake_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (error) return;
+    timer_set_for_ = 0;
+    queue_event(policy::TimerFired{static_cast<uint64_t>(std::exchange(wake_at_, 0))});
+  });
+}
+
+void Relay::carry_out(const policy::Action& action) {
+  if (const auto* send = std::get_if<policy::SendAttempt>(&action)) {
+    send_attempt(*send);
+  } else if (const auto* reject = std::get_if<policy::Reject>(&action)) {
+    const PendingMessage* message = messages_.find(reject->id);
+    if (message != nullptr) finish(reject->id, FinalAnswer{message->submitted.id, true, reject->retry_after});
+  } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
+    const PendingMessage* message = messages_.find(fail->id);
+    if (message != nullptr) finish(fail->id, FinalAnswer{message->submitted.id, false, 0});
+  } else if (const auto* cancel = std::get_if<policy::Cancel>(&action)) {
+    cancel_attempt(*cancel);
+  } else if (const auto* check = std::get_if<policy::SendHealthCheck>(&action)) {
+    send_health_check(*check);
+  } else if (const auto* close = std::get_if<policy::CloseIdleConnections>(&action)) {
+    upstream_.close_idle(close->endpoint);
+  } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
+    wake_at_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
+  } else if (const auto* persist_state = std::get_if<policy::PersistDestinationState>(&action)) {
+    persist(persist_state->state);
+  } else if (const auto* log = std::get_if<policy::Log>(&action)) {
+    net::log::info("decision", "text", log->text);
+  }
+}
+
+void Relay::send_attempt(const policy::SendAttempt& action) {
+  PendingMessage* message = messages_.find(action.id);
+  const ListedHost* host = directory_.find(action.endpoint);
+  if (message == nullptr || host == nullptr) return attempt_not_started(action, message);
+  Call call;
+  call.id = action.id;
+  call.endpoint = action.endpoint;
+  call.attempt = message->attempts++;
+  call.address = host->address;
+  call.call_id = message->submitted.id;
+  call.key = message->submitted.key;
+  call.body = message->submitted.body;
+  call.timeout = action.timeout;
+  call.start_by = action.latest_start;
+  call.last = steady_now() + action.timeout >= message->deadline;
+  ++in_flight_[call.endpoint];
+  add_to_batch(std::move(call), host->member.kind);
+}
+
+// Its endpoint is forgotten, or the message was rejected in this very turn for want of room.
+void Relay::attempt_not_started(const policy::SendAttempt& action, PendingMessage* message) {
+  policy::AttemptEnded end;
+  end.id = action.id;
+  end.endpoint = action.endpoint;
+  end.outcome = policy::Outcome::kNotStarted;
+  end.call_started = false;
+  end.final = message == nullptr;
+  if (message != nullptr) end.attempt = message->attempts++;
+  queue_event(std::move(end));
+}
+
+void Relay::cancel_attempt(const policy::Cancel& action) {
+  upstream_.cancel(action.id, action.attempt);
+  const PendingMessage* message = messages_.find(action.id);
+  if (message != nullptr && inherited_attempts_.contains(message->submitted.id))
+    handover_.send_to_predecessor(HandoverFrame::kCancel, message->submitted.id);
+}
+
+void Relay::send_health_check(const policy::SendHealthCheck& action) {
+  const ListedHost* host = directory_.find(action.endpoint);
+  if (host == nullptr) return queue_event(policy::HealthCheckEnded{action.endpoint, false, 0, {}});
+  ++in_flight_[action.endpoint];
+  upstream_.check_health(action.endpoint, host->address);
+}
+
+// What goes to one endpoint in one turn travels as one call where its kind allows it: the policy counts on
+// that one slot and one place under the endpoint's limit.
+void Relay::add_to_batch(Call call, int kind) {
+  const auto& kinds = config_.settings.kinds;
+  const size_t max_messages =
+      kind < static_cast<int>(kinds.size()) ? static_cast<size_t>(kinds[kind].max_batch_size) : 1;
+  if (max_messages <= 1) return upstream_.call(std::move(call));
+  std::vector<Call> full = batches_.add(std::move(call), max_messages);
+  if (!full.empty()) start_call(std::move(full));
+}
+
+// The message that lives longest goes first: an endpoint is held to the time of the first, and an answer
+// after it counts for none of them, though others have time left.
+void Relay::start_call(std::vector<Call> batch) {
+  std::stable_sort(batch.begin(), batch.end(), [this](const Call& a, const Call& b) {
+    return messages_.find(a.id)->deadline > messages_.find(b.id)->deadline;
+  });
+  upstream_.call(std::move(batch));
+}
+
+// The last look before a call's first byte. While its connection came up the endpoint may have been drained,
+// its destination may have asked another call to wait, or the message may be over.
+bool Relay::may_start(const Call& call) {
+  const PendingMessage* message = messages_.find(call.id);
+  const Time now = steady_now();
+  if (handed_over_ || message == nullptr || !directory_.active(call.endpoint) || now > call.start_by)
+    return false;
+  const ListedHost* host = directory_.find(call.endpoint);
+  if (route_waits_.waits(route_of(host->member), now)) return false;
+  if (!is_next_in_order(*message)) return false;
+  net::log::debug("call", "id", message->submitted.id, "attempt", call.attempt, "destination",
+                  message->submitted.destination, "host", host->id, "timeout_ms", call.timeout / kMs);
+  const auto zone = static_cast<size_t>(host->member.zone);
+  const auto& zones = config_.names.zones;
+  return journal_.record_attempt(message->submitted.id, call.attempt, clock_.now(), host->member.zone,
+                                 zone < zones.size() ? zones[zone] : "");
+}
+
+void Relay::on_attempt_ended(const policy::AttemptEnded& end, bool call_started) {
+  const PendingMessage* message = messages_.find(end.id);
+  if (handed_over_) {
+    if (message != nullptr) pass_on(message->submitted.id, end, call_started);
+    return;
+  }
+  note_retry_after(end, message);
+  if (message != nullptr) record_attempt_end(end, call_started, *message);
+  policy::AttemptEnded event = end;
+  event.call_started = call_started;
+  queue_event(std::move(event));
+  on_endpoint_idle(end.endpoint);
+}
+
+// An endpoint that is listed no more asked it for its destination; where endpoints are independent, for a
+// route that is gone.
+void Relay::note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message) {
+  if (end.retry_after <= 0) return;
+  const ListedHost* host = directory_.find(end.endpoint);
+  if (host == nullptr && message == nullptr) return;
+  const Route route =
+      host != nullptr ? route_of(host->member) : Route{message->submitted.destination, Endpoint{}};
+  route_waits_.extend(route, steady_now() + end.retry_after);
+}
+
+void Relay::record_attempt_end(const policy::AttemptEnded& end, bool call_started,
+                               const PendingMessage& message) {
+  const SubmittedMessage& submitted = message.submitted;
+  const ListedHost* host = directory_.find(end.endpoint);
+  net::log::debug("call_ended", "id", submitted.id, "attempt", end.attempt, "destination",
+                  submitted.destination, "host", host == nullptr ? "" : host->id.c_str(), "outcome",
+                  log_name(end.outcome), "took_ms", end.latency / kMs, "wait_ms", end.retry_after / kMs,
+                  "final", static_cast<int>(end.final));
+  if (may_still_run(end.outcome) && needs_hold(terms_of(message), submitted.ordering_key))
+    ordering_.hold(submitted.ordering_key, config_.settings.ordering_pause);
+  if (end.final) {
+    if (end.outcome == policy::Outcome::kOk) ++metrics_.classes[submitted.message_class].success;
+    finish(end.id, {});
+  } else if (call_started && never_ran(end.outcome)) {
+    journal_.record_not_started(submitted.id, end.attempt);
+  }
+}
+
+// The message is over; with an answer, that is still to be acknowledged.
+void Relay::finish(uint64_t number, std::optional<FinalAnswer> answer) {
+  const PendingMessage& message = *messages_.find(number);
+  const SubmittedMessage& submitted = message.submitted;
+  net::log::debug("end", "id", submitted.id, "destination", submitted.destination, "state", log_state(answer),
+                  "after_ms", answer ? answer->retry_after / kMs : 0);
+  if (answer) {
+    ClassMetrics& counts = metrics_.classes[submitted.message_class];
+    ++(answer->returned ? counts.overload : counts.error);
+    if (is_ordered(terms_of(message), submitted.ordering_key))
+      ordering_.add_unacknowledged(submitted.id, submitted.ordering_key);
+    final_answers_.publish(std::move(*answer), message.deadline);
+  } else {
+    journal_.record_acknowledged(submitted.id);
+  }
+  messages_.erase(number);
+  if (last_excess_ == 0) return;
+  const size_t excess = messages_.count_up_to(last_excess_);
+  if (2 * excess > static_cast<size_t>(config_.settings.max_pending_messages)) return;
+  last_excess_ = 0;
+  queue_event(policy::SettingsChanged{policy_settings(), {}});
+}
+
+}  // namespace turntally::relay
--- /dev/null
+++ b/relay/relay_endpoints.cpp
@@ -0,0 +1,91 @@
+// The relay's list of endpoints: what discovery or the registry sends, and when an endpoint is forgotten.
+#include <nlohmann/json.hpp>
+
+#include "net/log.h"
+#include "relay/journal_facts.h"
+#include "relay/relay.h"
+
+namespace turntally::relay {
+
+// What is known so far is what the follower's guard begins from.
+void Relay::follow_registry() {
+  nlohmann::json members = nlohmann::json::array();
+  for (const auto& [handle, host] : directory_.hosts()) {
+    if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
+  }
+  registry::ListFollower::Listener listener;
+  listener.told = [this](const nlohmann::json& line) { on_registry_list(line); };
+  listener.current = [this] { open(); };
+  follower_.emplace(io_, *config_.fleet,
+                    nlohmann::json{{"revision", list_identity_.empty() ? -1 : directory_.revision()},
+                                   {"complete", true},
+                                   {"identity", list_identity_},
+                                   {"members", std::move(members)}},
+                    std::move(listener));
+}
+
+void Relay::on_registry_list(const nlohmann::json& line) {
+  const HostList list = parse_list(line, config_.names);
+  const std::string identity = line.value("identity", "");
+  if (identity != list_identity_) {
+    net::log::info("registry", "identity", identity, "revision", list.revision);
+    list_identity_ = identity;
+    journal_.remember(fact::kIdentity, nlohmann::json(identity).dump());
+    directory_.renamed();
+  }
+  on_endpoint_list(list);
+}
+
+void Relay::on_endpoint_list(const HostList& list) {
+  const Time now = clock_.now();
+  const auto destinations = directory_.destinations().size();
+  auto change = directory_.apply(list, now);
+  journal_.remember(fact::kRevision, std::to_string(directory_.revision()));
+  for (const std::string& id : directory_.prune(now)) journal_.remember(fact::kGone + id, "");
+  if (!change) return;
+  const auto endpoints = change->endpoints;
+  net::log::debug("list", "revision", directory_.revision(), "changed", endpoints->size());
+  queue_event(std::move(*change));
+  for (const policy::EndpointInfo& info : *endpoints) {
+    const ListedHost* host = directory_.find(info.endpoint);
+    if (host != nullptr) record_endpoint(*host);
+    if (host != nullptr && directory_.suspended(host->id))
+      queue_event(policy::EndpointSuspended{info.endpoint, true});
+    forget_gone(info.endpoint);
+  }
+  if (directory_.destinations().size() != destinations) {
+    journal_.remember(fact::kDestinations, nlohmann::json(directory_.destinations()).dump());
+  }
+  route_waits_.forget_ended(steady_now());
+}
+
+void Relay::record_endpoint(const ListedHost& host) {
+  const bool gone = host.member.listing == policy::Listing::kGone;
+  journal_.remember(fact::kHost + host.id, gone ? "" : host.text);
+  journal_.remember(fact::kGone + host.id, gone ? std::to_string(directory_.gone().at(host.id)) : "");
+}
+
+// Its connections are of no use, and a machine that takes its address over must not get them. It is known
+// until its last call has ended.
+void Relay::forget_gone(const Endpoint& endpoint) {
+  const ListedHost* host = directory_.find(endpoint);
+  if (host == nullptr || host->member.listing != policy::Listing::kGone) return;
+  upstream_.close_idle(endpoint);
+  if (!in_flight_.contains(endpoint)) directory_.forget(endpoint);
+}
+
+void Relay::on_endpoint_idle(const Endpoint& endpoint) {
+  const auto count = in_flight_.find(endpoint);
+  if (count == in_flight_.end() || --count->second > 0) return;
+  in_flight_.erase(count);
+  forget_gone(endpoint);
+}
+
+Route Relay::route_of(const policy::EndpointInfo& endpoint) const {
+  const auto& kinds = config_.settings.kinds;
+  const bool independent =
+      endpoint.kind < static_cast<int>(kinds.size()) && kinds[endpoint.kind].independent_endpoints;
+  return {endpoint.destination, independent ? endpoint.endpoint : Endpoint{}};
+}
+
+}  // namespace turntally::relay
--- /dev/null
+++ b/relay/relay_handover.cpp
@@ -0,0 +1,155 @@
+// The relay's hand-over: what it takes over from its predecessor, and what it gives to its successor.
+#include "net/log.h"
+#include "relay/relay.h"
+
+namespace turntally::relay {
+
+// What the predecessor has in flight, up to the listener. The frames that follow are read while clients are
+// served.
+void Relay::take_over() {
+  uint64_t call_number = 0;
+  while (auto frame = handover_.next_frame()) {
+    if (frame->kind == HandoverFrame::kListener) {
+      const bool same = config_.listen.port() == 0 || frame->text == net::text_of(config_.listen);
+      if (same) listener_ = std::move(frame->descriptor);
+      return;
+    }
+    if (frame->kind != HandoverFrame::kCall) continue;
+    const InFlightCallFrame call = InFlightCallFrame::parse(frame->text);
+    const Endpoint endpoint = directory_.handle(call.host_id);
+    ++call_number;
+    for (const auto& [id, attempt] : call.attempt_numbers)
+      inherited_attempts_[id] = {0, attempt, {endpoint, call.started_at, call_number}, {}};
+  }
+}
+
+void Relay::on_predecessor_frame(std::optional<HandoverFrame> frame) {
+  if (!frame) return on_predecessor_gone();
+  if (frame->kind == HandoverFrame::kClient && handed_over_) {
+    handover_.send_frame(HandoverFrame::kClient, frame->text, frame->descriptor.get());
+  } else if (frame->kind == HandoverFrame::kClient) {
+    clients_->add_inherited(frame->text, frame->descriptor.release());
+  } else if (frame->kind == HandoverFrame::kEnded) {
+    AttemptEndedFrame ended = AttemptEndedFrame::parse(frame->text);
+    on_inherited_attempt_ended(ended.message_id, std::move(ended.end), ended.call_started);
+  }
+}
+
+// What it had in flight may have run.
+void Relay::on_predecessor_gone() {
+  while (!inherited_attempts_.empty()) {
+    policy::AttemptEnded lost;
+    lost.outcome = policy::Outcome::kReset;
+    const std::string id = inherited_attempts_.begin()->first;
+    on_inherited_attempt_ended(id, lost, true);
+  }
+}
+
+void Relay::on_inherited_attempt_ended(const std::string& id, policy::AttemptEnded end, bool call_started) {
+  const auto found = inherited_attempts_.find(id);
+  if (found == inherited_attempts_.end()) return;
+  const InheritedAttempt inherited = std::move(found->second);
+  inherited_attempts_.erase(found);
+  end.id = inherited.number;
+  end.attempt = inherited.attempt;
+  end.endpoint = inherited.call.endpoint;
+  if (handed_over_) return pass_on(id, end, call_started);
+  on_attempt_ended(end, call_started);
+  if (inherited.deferred && !end.final) arrive_deferred(inherited, end, call_started);
+}
+
+void Relay::arrive_deferred(const InheritedAttempt& inherited, const policy::AttemptEnded& end,
+                            bool call_started) {
+  RecoveredMessage message = *inherited.deferred;
+  policy::MessageArrived& arrival = message.arrival;
+  arrival.ahead_in_order = true;
+  if (call_started && !never_ran(end.outcome) && !arrival.may_have_run) {
+    arrival.may_have_run = true;
+    arrival.possibly_run_since = inherited.call.sent;
+  }
+  arrive({std::move(message)});
+}
+
+// In one turn all goes to the successor but the calls in flight: their ends follow.
+void Relay::hand_over() {
+  queue_event(policy::ShutdownScheduled{steady_now()});
+  step();
+  // Without what the disk had no room for the next process would recover messages that have ended.
+  if (!journal_.write_pending() || !handover_.send_folder_lock()) {
+    handover_.drop_successor();
+    return queue_event(policy::ShutdownScheduled{calls_end_by()});
+  }
+  handed_over_ = true;
+  final_answers_.stop();
+  events_.clear();
+  net::log::info("handing_over");
+  send_in_flight_calls();
+  send_listener();
+  send_clients();
+  handover_.listen_to_successor(
+      [this](const std::optional<HandoverFrame>& frame) { on_successor_frame(frame); });
+  if (watch_) watch_->close();
+  if (follower_) follower_->close();
+  notices_.close();
+  upstream_.close_idle();
+  wait_for_end();
+}
+
+void Relay::send_in_flight_calls() {
+  const auto send = [this](const Endpoint& endpoint, Time started_at, std::map<std::string, int> attempts) {
+    const ListedHost* host = directory_.find(endpoint);
+    const InFlightCallFrame frame{host == nullptr ? "" : host->id, started_at, std::move(attempts)};
+    handover_.send_frame(HandoverFrame::kCall, frame.text());
+  };
+  for (const Upstream::InFlightCall& call : upstream_.in_flight_calls()) {
+    std::map<std::string, int> attempts;
+    for (const Upstream::InFlightAttempt& attempt : call.attempts) {
+      const PendingMessage* message = messages_.find(attempt.id);
+      if (message != nullptr) attempts[message->submitted.id] = attempt.attempt;
+    }
+    send(call.endpoint, call.started_at, std::move(attempts));
+  }
+  for (const auto& [id, inherited] : inherited_attempts_)
+    send(inherited.call.endpoint, inherited.call.sent, {{id, inherited.attempt}});
+}
+
+void Relay::send_listener() {
+  const int listener = clients_ ? clients_->listener() : listener_.get();
+  std::string address;  // a closed listener has none
+  if (listener >= 0) address = net::text_of(clients_ ? clients_->address() : config_.listen);
+  handover_.send_frame(HandoverFrame::kListener, address, listener);
+}
+
+// A process that has not opened yet has no clients: what its predecessor sends still passes through.
+void Relay::send_clients() {
+  if (clients_) {
+    return clients_->hand_over([this](const std::string& state, int descriptor) {
+      handover_.send_frame(HandoverFrame::kClient, state, descriptor);
+    });
+  }
+  handover_.listen_to_predecessor(
+      [this](std::optional<HandoverFrame> frame) { on_predecessor_frame(std::move(frame)); });
+  listener_ = Descriptor();
+}
+
+void Relay::on_successor_frame(const std::optional<HandoverFrame>& frame) {
+  if (!frame || frame->kind != HandoverFrame::kCancel) return;
+  const std::string& id = frame->text;
+  if (inherited_attempts_.contains(id)) handover_.send_to_predecessor(HandoverFrame::kCancel, id);
+  const auto number = messages_.number_of(id);
+  if (number) upstream_.cancel(*number, messages_.find(*number)->attempts - 1);
+}
+
+void Relay::pass_on(const std::string& id, const policy::AttemptEnded& end, bool call_started) {
+  handover_.send_frame(HandoverFrame::kEnded, AttemptEndedFrame{id, end, call_started}.text());
+}
+
+// No process is there to take their ends: the one that comes next sends again, and must find none in flight.
+void Relay::cancel_all_calls() {
+  for (const Upstream::InFlightCall& call : upstream_.in_flight_calls())
+    upstream_.cancel(call.attempts.front().id, call.attempts.front().attempt);
+  for (const auto& [id, inherited] : inherited_attempts_)
+    handover_.send_to_predecessor(HandoverFrame::kCancel, id);
+}
+
+}  // namespace turntally::relay
--- /dev/null
+++ b/relay/relay_recovery.cpp
@@ -0,0 +1,223 @@
+// The relay's recovery from the journal: endpoints and destinations at the start, messages once the list is
+// there.
+#include <algorithm>
+#include <nlohmann/json.hpp>
+
+#include "relay/journal_facts.h"
+#include "relay/relay.h"
+
+namespace turntally::relay {
+namespace {
+
+// Keys of a destination's state in the journal.
+constexpr const char* kRetryTokensKey = "tokens";
+constexpr const char* kOutageSinceKey = "out_since";
+constexpr const char* kRecoveringSinceKey = "back_since";
+constexpr const char* kRateBeforeOutageKey = "base";
+constexpr const char* kWaitUntilKey = "wait_until";  // not in older records
+
+}  // namespace
+
+// What the process before knew of endpoints and destinations. The configuration's list may be older:
+// endpoints that were draining would be sent to again.
+void Relay::recover_endpoints() {
+  HostList list;
+  list.complete = true;
+  std::vector<policy::DestinationState> states;
+  nlohmann::json members = nlohmann::json::array();
+  for (const auto& [name, text] : journal_.remembered()) {
+    const nlohmann::json value = nlohmann::json::parse(text);
+    if (name == fact::kRevision) list.revision = value.get<int64_t>();
+    if (name.starts_with(fact::kHost)) members.push_back(value);
+    if (name.starts_with(fact::kDestination)) states.push_back(recovered_state(name, value));
+    recover_fact(name, value);
+  }
+  const bool from_registry = !list_identity_.empty();
+  if (from_registry != config_.fleet.has_value()) {  // the other one's list, whose revisions say nothing here
+    list.revision = 0;
+    list_identity_.clear();
+    journal_.remember(fact::kIdentity, "");
+  }
+  list.hosts =
+      parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.names)
+          .hosts;
+  if (!list.hosts.empty()) on_endpoint_list(list);
+  for (const policy::DestinationState& state : states) queue_event(state);
+}
+
+void Relay::recover_fact(const std::string& name, const nlohmann::json& value) {
+  if (name == fact::kIdentity) list_identity_ = value.get<std::string>();
+  if (name.starts_with(fact::kGone)) directory_.add_gone(name.substr(fact::kGone.size()), value.get<Time>());
+  if (name == fact::kDestinations) {
+    for (const int destination : value.get<std::vector<int>>()) directory_.add_destination(destination);
+  }
+  if (name.starts_with(fact::kSuspended)) directory_.suspend(name.substr(fact::kSuspended.size()));
+  if (name.starts_with(fact::kFence))
+    fencing_tokens_.recall(name.substr(fact::kFence.size()), value.get<Token>());
+}
+
+policy::DestinationState Relay::recovered_state(const std::string& name, const nlohmann::json& value) const {
+  const auto steady = [this](Time time) { return time == 0 ? 0 : clock_.to_steady(time); };
+  policy::DestinationState state;
+  state.destination = std::stoi(name.substr(fact::kDestination.size()));
+  state.retry_tokens = value.at(kRetryTokensKey).get<int>();
+  state.outage_since = steady(value.at(kOutageSinceKey).get<Time>());
+  state.recovering_since = steady(value.at(kRecoveringSinceKey).get<Time>());
+  state.rate_before_outage = value.at(kRateBeforeOutageKey).get<double>();
+  // A restart ends a wait, a hand-over does not.
+  if (handover_.taken_over()) state.wait_until = steady(value.value(kWaitUntilKey, Time{0}));
+  return state;
+}
+
+void Relay::persist(const policy::DestinationState& state) {
+  const auto durable = [this](Time time) { return time == 0 ? 0 : clock_.from_steady(time); };
+  const nlohmann::json value = {{kRetryTokensKey, state.retry_tokens},
+                                {kOutageSinceKey, durable(state.outage_since)},
+                                {kRecoveringSinceKey, durable(state.recovering_since)},
+                                {kRateBeforeOutageKey, state.rate_before_outage},
+                                {kWaitUntilKey, durable(state.wait_until)}};
+  journal_.remember(fact::kDestination + std::to_string(state.destination), value.dump());
+}
+
+// Messages from before a restart are the policy's to decide on, like any other.
+void Relay::recover_messages() {
+  Recovery recovery;
+  recover_ordering_holds(recovery);
+  for (const Recovered& entry : journal_.recovered()) {
+    entry.unacknowledged_answer ? recover_final_answer(entry) : recover_message(entry, recovery);
+  }
+  note_excess_messages();
+  arrive(recovery.arrivals);
+  for (policy::AttemptEnded& end : recovery.ends) queue_event(std::move(end));
+  std::erase_if(inherited_attempts_, [](const auto& entry) { return entry.second.number == 0; });
+}
+
+// The message of a hold may have ended: another stands for its call.
+void Relay::recover_ordering_holds(Recovery& recovery) {
+  for (const uint64_t ordering_key : ordering_.held_back_keys()) {
+    RecoveredMessage substitute;
+    substitute.terms.in_order = true;
+    substitute.arrival.id = messages_.next_number();
+    substitute.arrival.tenant = -1;
+    substitute.arrival.ordering_key = ordering_key;
+    substitute.arrival.attempts = 1;
+    auto end = interrupted_call(substitute.arrival);
+    if (!end) continue;
+    end->final = true;
+    recovery.ends.push_back(std::move(*end));
+    recovery.arrivals.push_back(std::move(substitute));
+  }
+}
+
+void Relay::recover_final_answer(const Recovered& entry) {
+  const SubmittedMessage& message = entry.message;
+  const DeliveryTerms terms =
+      delivery_terms_.find(config_.settings, message.message_class, entry.terms_number);
+  if (is_ordered(terms, message.ordering_key)) ordering_.add_unacknowledged(message.id, message.ordering_key);
+  notices_.add(*entry.unacknowledged_answer);
+}
+
+void Relay::recover_message(const Recovered& entry, Recovery& recovery) {
+  const uint64_t number = messages_.next_number();
+  PendingMessage& message = messages_.add(
+      number, {entry.message, clock_.to_steady(entry.deadline), entry.attempts, true, entry.terms_number});
+  RecoveredMessage recovered{{}, terms_of(message)};
+  policy::MessageArrived& arrival = recovered.arrival;
+  arrival.id = number;
+  arrival.tenant = tenant_index(entry.message.tenant);
+  arrival.deadline = message.deadline;
+  arrival.destination = entry.message.destination;
+  arrival.ordering_key = entry.message.ordering_key;
+  arrival.attempts = entry.attempts;
+  auto possibly_run = entry.possibly_run;
+  InheritedAttempt* inherited = find_inherited(entry);
+  if (inherited != nullptr) {
+    message.attempts = arrival.attempts = std::max(arrival.attempts, inherited->attempt + 1);
+    const auto in_flight = possibly_run.find(inherited->attempt);
+    arrival.possibly_run_zone = zone_of(in_flight->second);  // where its endpoint is listed no more
+    possibly_run.erase(in_flight);                           // its end is still to come
+  }
+  if (!possibly_run.empty()) {
+    const RecordedAttempt& first = possibly_run.begin()->second;
+    arrival.may_have_run = true;
+    arrival.possibly_run_since = clock_.to_steady(first.sent_at);
+    arrival.possibly_run_zone = zone_of(first);
+  }
+  const int max_attempts =
+      recovered.terms.max_attempts > 0 ? recovered.terms.max_attempts : config_.settings.max_attempts;
+  arrival.max_attempts = max_attempts + entry.attempts - entry.begun;
+  if (arrival.may_have_run && inherited == nullptr && needs_hold(recovered.terms, arrival.ordering_key)) {
+    if (auto end = interrupted_call(arrival)) recovery.ends.push_back(std::move(*end));
+    ordering_.hold(arrival.ordering_key, config_.settings.ordering_pause);
+  }
+  if (inherited != nullptr && !resume_inherited(recovered, *inherited)) return;
+  recovery.arrivals.push_back(std::move(recovered));
+}
+
+// The attempt that the predecessor still has in flight, or null. One that has no record yet never started,
+// and the predecessor starts nothing any more.
+Relay::InheritedAttempt* Relay::find_inherited(const Recovered& entry) {
+  const auto found = inherited_attempts_.find(entry.message.id);
+  if (found == inherited_attempts_.end()) return nullptr;
+  if (entry.possibly_run.contains(found->second.attempt)) return &found->second;
+  inherited_attempts_.erase(found);
+  return nullptr;
+}
+
+// Whether the policy is to learn of the message now.
+bool Relay::resume_inherited(RecoveredMessage& message, InheritedAttempt& inherited) {
+  inherited.number = message.arrival.id;
+  if (directory_.find(inherited.call.endpoint) == nullptr) {
+    inherited.deferred = message;
+    return false;
+  }
+  message.arrival.in_flight = inherited.call;
+  ++in_flight_[inherited.call.endpoint];
+  return true;
+}
+
+// For the policy a call that ended with the process, or in it, ends now: what comes later under its key
+// waits. The endpoint that it went to is not known, and nothing is learnt of the one that stands for it.
+std::optional<policy::AttemptEnded> Relay::interrupted_call(policy::MessageArrived& arrival) const {
+  const auto& hosts = directory_.hosts();
+  const auto host = std::find_if(hosts.begin(), hosts.end(), [](const auto& entry) {
+    return entry.second.member.listing != policy::Listing::kGone;
+  });
+  if (host == hosts.end()) return {};
+  constexpr uint64_t kInterrupted = uint64_t{1} << 62;  // apart from the numbers of calls in flight
+  arrival.in_flight = policy::MessageArrived::InFlightCall{host->first, arrival.possibly_run_since,
+                                                           kInterrupted | arrival.id};
+  policy::AttemptEnded end;
+  end.id = arrival.id;
+  end.attempt = arrival.attempts - 1;
+  end.endpoint = host->first;
+  end.outcome = policy::Outcome::kCancelled;
+  return end;
+}
+
+// The policy takes messages under terms that the settings have no more.
+void Relay::arrive(const std::vector<RecoveredMessage>& messages) {
+  auto settings = policy_settings();
+  std::vector<policy::MessageArrived> arrivals;
+  for (const auto& [arrival, terms] : messages) {
+    const policy::ClassSettings& message_class = terms;
+    const auto place = std::find(settings->classes.begin(), settings->classes.end(), message_class);
+    arrivals.push_back(arrival);
+    arrivals.back().message_class = static_cast<int>(place - settings->classes.begin());
+    if (place == settings->classes.end()) settings->classes.push_back(message_class);
+  }
+  const bool differs = settings->classes.size() > config_.settings.classes.size() || last_excess_ != 0;
+  if (differs) queue_event(policy::SettingsChanged{settings, {}});
+  for (const policy::MessageArrived& arrival : arrivals) queue_event(arrival);
+  if (differs) queue_event(policy::SettingsChanged{policy_settings(), {}});
+}
+
+// Settings may list zones in another order than before. A zone that they do not name takes no repeat.
+int Relay::zone_of(const RecordedAttempt& attempt) const {
+  if (attempt.zone_name.empty()) return attempt.zone;  // of a version before
+  const auto& zones = config_.names.zones;
+  const auto found = std::find(zones.begin(), zones.end(), attempt.zone_name);
+  return found == zones.end() ? -1 : static_cast<int>(found - zones.begin());
+}
+
+}  // namespace turntally::relay
--- /dev/null
+++ b/relay/route_waits.h
@@ -0,0 +1,38 @@
+// Waits that endpoints asked for by Retry-After, by route.
+#pragma once
+
+#include <algorithm>
+#include <compare>
+#include <map>
+
+#include "relay/message.h"
+
+namespace turntally::relay {
+
+// What waits and limits are tied to: a destination, or one of its endpoints where these are independent.
+struct Route {
+  int destination = 0;
+  Endpoint endpoint;  // empty: all of the destination
+  auto operator<=>(const Route&) const = default;
+};
+
+// Owns the end of each route's wait, in microseconds of the steady clock. A wait never becomes shorter.
+class RouteWaits {
+ public:
+  void extend(const Route& route, Time until) {
+    Time& end = ends_[route];
+    end = std::max(end, until);
+  }
+  bool waits(const Route& route, Time now) const {
+    const auto found = ends_.find(route);
+    return found != ends_.end() && found->second > now;
+  }
+  void forget_ended(Time now) {
+    std::erase_if(ends_, [now](const auto& entry) { return entry.second <= now; });
+  }
+
+ private:
+  std::map<Route, Time> ends_;
+};
+
+}  // namespace turntally::relay
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -116,12 +116,12 @@
     });
   }
 
-  std::optional<Out> out() const {
-    Out call{begun_, endpoint_, {}};
+  std::optional<InFlightCall> in_flight() const {
+    InFlightCall call{begun_, endpoint_, {}};
     for (const Part& part : parts_) {
-      if (!part.over) call.messages.push_back({part.call.id, part.call.attempt});
+      if (!part.over) call.attempts.push_back({part.call.id, part.call.attempt});
     }
-    return probe_ || call.messages.empty() ? std::nullopt : std::optional(std::move(call));
+    return probe_ || call.attempts.empty() ? std::nullopt : std::optional(std::move(call));
   }
 
   // A message must not be sent again while this call is out, so the call ends with the first of its messages
@@ -135,7 +135,7 @@
       if (!part.call.last) shortest = std::min(shortest, part.call.timeout);
     }
     deadline_ = begun_ + std::min(longest, shortest);
-    if (auto kept = owner_->take(endpoint_, address_)) {
+    if (auto kept = owner_->take_idle(endpoint_, address_)) {
       stream_ = std::move(kept->stream);
       return settle(kept->since + kSettle);
     }
@@ -471,7 +471,7 @@
     const auto self = shared_from_this();
     owner_->exchanges_.erase(name());
     if (idle_) {
-      owner_->keep(endpoint_, std::move(stream_));
+      owner_->put_idle(endpoint_, std::move(stream_));
     } else {
       stream_.close();
     }
@@ -562,7 +562,7 @@
   start(std::make_shared<Exchange>(*this, std::move(bundle), false));
 }
 
-void Upstream::probe(const Endpoint& endpoint, const tcp::endpoint& address) {
+void Upstream::check_health(const Endpoint& endpoint, const tcp::endpoint& address) {
   Call call;
   call.id = ++last_probe_;
   call.endpoint = endpoint;
@@ -597,15 +597,15 @@
   idle_count_ = 0;
 }
 
-std::vector<Upstream::Out> Upstream::calls_out() const {
-  std::vector<Out> out;
+std::vector<Upstream::InFlightCall> Upstream::in_flight_calls() const {
+  std::vector<InFlightCall> calls;
   for (const auto& [name, exchange] : exchanges_) {
-    if (auto call = exchange->out()) out.push_back(std::move(*call));
+    if (auto call = exchange->in_flight()) calls.push_back(std::move(*call));
   }
-  return out;
+  return calls;
 }
 
-std::optional<Upstream::Idle> Upstream::take(const Endpoint& endpoint, const tcp::endpoint& address) {
+std::optional<Upstream::Idle> Upstream::take_idle(const Endpoint& endpoint, const tcp::endpoint& address) {
   const auto it = idle_.find(endpoint);
   if (it == idle_.end()) return {};
   while (!it->second.empty()) {
@@ -620,7 +620,7 @@
   return {};
 }
 
-void Upstream::keep(const Endpoint& endpoint, net::Stream stream) {
+void Upstream::put_idle(const Endpoint& endpoint, net::Stream stream) {
   std::vector<Idle>& list = idle_[endpoint];
   if (list.size() >= kMostPerHost || exchanges_.size() + idle_count_ >= limits_.most_open) return;
   list.push_back({std::move(stream), steady_now()});
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -59,17 +59,22 @@
   void call(std::vector<Call> bundle);
   // Ends the whole call that the message travels in.
   void cancel(uint64_t id, int attempt);
-  void probe(const Endpoint& endpoint, const tcp::endpoint& address);
+  void check_health(const Endpoint& endpoint, const tcp::endpoint& address);
   void close_idle(const Endpoint& endpoint);
-  // A call that is out: when it began, and the messages that are still in it.
-  struct Out {
-    Time since = 0;
+  // A message's attempt in a call in flight.
+  struct InFlightAttempt {
+    uint64_t id = 0;  // the policy's number of the message
+    int attempt = 0;
+  };
+  // A call in flight: when it began, and the attempts in it that have not ended.
+  struct InFlightCall {
+    Time started_at = 0;
     Endpoint endpoint;
-    std::vector<std::pair<uint64_t, int>> messages;  // the module's numbers, and attempts
+    std::vector<InFlightAttempt> attempts;
   };
-  std::vector<Out> calls_out() const;
+  std::vector<InFlightCall> in_flight_calls() const;
   void close_idle();  // to all hosts
-  size_t out() const { return exchanges_.size(); }
+  size_t in_flight_count() const { return exchanges_.size(); }
   uint64_t written() const { return written_; }
 
  private:
@@ -79,8 +84,8 @@
     Time since = 0;
   };
 
-  std::optional<Idle> take(const Endpoint& endpoint, const tcp::endpoint& address);
-  void keep(const Endpoint& endpoint, net::Stream stream);
+  std::optional<Idle> take_idle(const Endpoint& endpoint, const tcp::endpoint& address);
+  void put_idle(const Endpoint& endpoint, net::Stream stream);
   void start(std::shared_ptr<Exchange> exchange);
   void close_oldest();
   void sweep();
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -62,7 +62,7 @@
   Socket listener = Socket::listen();
 
   explicit Before(const std::filesystem::path& folder) : handover(io, folder) {
-    handover.offer([this] { asked = true; });
+    handover.await_successor([this] { asked = true; });
   }
   void await_asked() {
     while (!asked && io.run_one_for(std::chrono::milliseconds(kDeadlineMs)) > 0) continue;
@@ -159,7 +159,7 @@
   auto started = begin(next);
   before.await_asked();
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
   before.give_listener();
   Socket client = before.give_client();
@@ -193,7 +193,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   for (int i = 0; i < 20; ++i) {  // one of them comes while it waits for the next parcel
     next.signal(SIGHUP);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -212,7 +212,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   next.signal(SIGTERM);
   before.give_listener();
   Socket client = before.give_client();
@@ -239,7 +239,7 @@
     std::optional<Before> before(next.state());
     auto started = begin(next);
     before->await_asked();
-    ASSERT_TRUE(before->handover.give_folder());
+    ASSERT_TRUE(before->handover.send_folder_lock());
     if (told) before->give_call("m-out", 0);
     before.reset();
     started.get();
@@ -309,7 +309,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-1", 0);
   before.give_listener();
   started.get();
@@ -360,7 +360,7 @@
   Before before(middle.state());
   auto started = begin(middle);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-none", 0);  // of no message that is left
   before.give_listener();
   started.get();
@@ -395,7 +395,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-1", 0, "s-gone");
   before.give_listener();
   started.get();
@@ -422,7 +422,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-1", 0, "s-gone");
   before.give_listener();
   started.get();
@@ -452,7 +452,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-1", 0, "s-gone");
   before.give_listener();
   started.get();
@@ -474,7 +474,7 @@
   Before before(middle.state());
   auto started = begin(middle);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-out", 0);
   before.give_listener();
   started.get();
@@ -483,7 +483,7 @@
     ASSERT_EQ(last.next().kind, kind);
   last.tell(HandoverFrame::kCancel, "m-out");
   std::string told;
-  before.handover.hear_successor([&](std::optional<HandoverFrame> parcel) {
+  before.handover.listen_to_successor([&](std::optional<HandoverFrame> parcel) {
     told = parcel ? static_cast<char>(parcel->kind) + parcel->text : "gone";
   });
   before.io.restart();
@@ -497,7 +497,7 @@
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_listener();
   started.get();
   {
@@ -536,7 +536,7 @@
   Inside middle;
   auto created = std::async(std::launch::async, [&] { middle.create(s.config, folder.path); });
   before.await_asked();
-  ASSERT_TRUE(before.handover.give_folder());
+  ASSERT_TRUE(before.handover.send_folder_lock());
   before.give_call("m-out", 0);
   before.give_listener();
   created.get();
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -232,14 +232,14 @@
   ASSERT_EQ(left.size(), 3u);
   EXPECT_EQ(left[0].message.body, std::string(10, '\0'));
   EXPECT_EQ(left[0].message.tenant, "acme");
-  EXPECT_EQ(left[0].due, 1234);
+  EXPECT_EQ(left[0].deadline, 1234);
   EXPECT_EQ(left[0].attempts, 2);
-  EXPECT_EQ(left[0].unsettled.at(0).sent_at, 100);
-  EXPECT_EQ(left[0].unsettled.at(0).zone, 1);  // as older versions told it
-  EXPECT_EQ(left[0].unsettled.at(0).zone_name, "");
-  EXPECT_EQ(left[0].unsettled.at(1).zone_name, "north");
+  EXPECT_EQ(left[0].possibly_run.at(0).sent_at, 100);
+  EXPECT_EQ(left[0].possibly_run.at(0).zone, 1);  // as older versions told it
+  EXPECT_EQ(left[0].possibly_run.at(0).zone_name, "");
+  EXPECT_EQ(left[0].possibly_run.at(1).zone_name, "north");
   EXPECT_EQ(left[1].attempts, 1);
-  EXPECT_TRUE(left[1].unsettled.empty());
+  EXPECT_TRUE(left[1].possibly_run.empty());
   ASSERT_TRUE(left[2].unacknowledged_answer);
   EXPECT_TRUE(left[2].unacknowledged_answer->returned);
   EXPECT_EQ(left[2].unacknowledged_answer->retry_after, 500);
@@ -310,7 +310,7 @@
         EXPECT_FALSE(journal.record_accepted(message("c"), 1234));
         journal.record_final_answer({"a", true, 500});
       }
-      EXPECT_TRUE(moved ? journal.settle() : journal.record_accepted(message("d"), 1234));
+      EXPECT_TRUE(moved ? journal.write_pending() : journal.record_accepted(message("d"), 1234));
     }
     const Journal again(folder_, 1'000'000);
     ASSERT_EQ(again.recovered().size(), moved ? 2U : 3U);
@@ -328,7 +328,7 @@
   }
   const Journal journal(folder_, 1'000'000);
   ASSERT_EQ(journal.recovered().size(), 1u);
-  EXPECT_EQ(journal.recovered()[0].due, 2);
+  EXPECT_EQ(journal.recovered()[0].deadline, 2);
 }
 
 }  // namespace
--- a/tests/relay/recovery_test.cpp
+++ b/tests/relay/recovery_test.cpp
@@ -429,7 +429,7 @@
 
 struct State {  // of a message, as its records tell
   int attempts = 0;
-  std::set<int> unsettled;
+  std::set<int> possibly_run;
   bool owed = false;
   bool operator==(const State&) const = default;
 };
@@ -449,10 +449,10 @@
       EXPECT_FALSE(state.owed) << "a call after the end: " << record.id;
       EXPECT_GE(attempt, state.attempts) << record.id;
       state.attempts = attempt + 1;
-      state.unsettled.insert(attempt);
+      state.possibly_run.insert(attempt);
       return;
     case 'N':
-      EXPECT_EQ(state.unsettled.erase(attempt), 1u) << record.id;
+      EXPECT_EQ(state.possibly_run.erase(attempt), 1u) << record.id;
       return;
     case 'O':
       EXPECT_FALSE(state.owed) << "ended twice: " << record.id;
@@ -470,7 +470,7 @@
   std::map<std::string, State> out;
   for (const Recovered& entry : journal.recovered()) {
     State state{entry.attempts, {}, entry.unacknowledged_answer.has_value()};
-    for (const auto& [attempt, sent] : entry.unsettled) state.unsettled.insert(attempt);
+    for (const auto& [attempt, sent] : entry.possibly_run) state.possibly_run.insert(attempt);
     EXPECT_TRUE(out.emplace(entry.message.id, state).second);
   }
   return out;
@@ -566,7 +566,7 @@
     for (const auto& [id, state] : states) {
       const bool unsafe = id == "m-served" || id == "m-refused" || id == "m-out";
       const bool over = id == "m-late";  // its time, by now
-      calls += !state.owed && !over && !(unsafe && !state.unsettled.empty());
+      calls += !state.owed && !over && !(unsafe && !state.possibly_run.empty());
     }
     s.program.start();
     for (size_t i = 0; i < calls; ++i) {
@@ -583,11 +583,11 @@
     EXPECT_EQ(called.size() + told.size(), states.size());
     for (const auto& [id, state] : states) {
       EXPECT_EQ(ended.count(id), 1u) << id;
-      EXPECT_EQ(told.count(id),
-                state.owed || id == "m-late" ||
-                        ((id == "m-served" || id == "m-refused" || id == "m-out") && !state.unsettled.empty())
-                    ? 1u
-                    : 0u)
+      EXPECT_EQ(told.count(id), state.owed || id == "m-late" ||
+                                        ((id == "m-served" || id == "m-refused" || id == "m-out") &&
+                                         !state.possibly_run.empty())
+                                    ? 1u
+                                    : 0u)
           << id;
     }
     EXPECT_TRUE(Journal(s.program.state(), kDisk).recovered().empty());
--- a/tests/relay/stored_data_test.cpp
+++ b/tests/relay/stored_data_test.cpp
@@ -41,7 +41,7 @@
   std::vector<policy::Time> deadlines;
   for (const Recovered& message : journal_->recovered()) {
     ids.push_back(message.message.id);
-    deadlines.push_back(message.due);
+    deadlines.push_back(message.deadline);
   }
   EXPECT_EQ(
       ids, (std::vector<std::string>{"untried", "may-have-run", "never-ran", "returned", "failed", "plain"}));
@@ -57,10 +57,10 @@
   EXPECT_EQ(full.message.body, std::string("body\0of\r\n", 9) + "untried");
   EXPECT_EQ(full.message.tenant, "tenant one");
   EXPECT_EQ(full.message.ordering_key, kOrderingKey);
-  EXPECT_EQ(full.rules, 1);
+  EXPECT_EQ(full.terms_number, 1);
   EXPECT_EQ(full.attempts, 0);
   EXPECT_EQ(full.begun, 0);
-  EXPECT_TRUE(full.unsettled.empty());
+  EXPECT_TRUE(full.possibly_run.empty());
   EXPECT_FALSE(full.unacknowledged_answer);
 
   const Recovered& plain = entry(5);
@@ -70,25 +70,25 @@
   EXPECT_EQ(plain.message.body, "");
   EXPECT_EQ(plain.message.tenant, "");
   EXPECT_EQ(plain.message.ordering_key, 0u);
-  EXPECT_EQ(plain.rules, 0);
+  EXPECT_EQ(plain.terms_number, 0);
 }
 
 TEST_F(StoredJournal, RecoversAttemptsThatMayHaveRun) {
   const Recovered& tried = entry(1);
   EXPECT_EQ(tried.attempts, 2);
   EXPECT_EQ(tried.begun, 2);
-  ASSERT_EQ(tried.unsettled.size(), 2u);
-  EXPECT_EQ(tried.unsettled.at(0).sent_at, 100);
-  EXPECT_EQ(tried.unsettled.at(0).zone, 1);
-  EXPECT_EQ(tried.unsettled.at(0).zone_name, "");
-  EXPECT_EQ(tried.unsettled.at(1).sent_at, 250);
-  EXPECT_EQ(tried.unsettled.at(1).zone, 2);
-  EXPECT_EQ(tried.unsettled.at(1).zone_name, "south");
+  ASSERT_EQ(tried.possibly_run.size(), 2u);
+  EXPECT_EQ(tried.possibly_run.at(0).sent_at, 100);
+  EXPECT_EQ(tried.possibly_run.at(0).zone, 1);
+  EXPECT_EQ(tried.possibly_run.at(0).zone_name, "");
+  EXPECT_EQ(tried.possibly_run.at(1).sent_at, 250);
+  EXPECT_EQ(tried.possibly_run.at(1).zone, 2);
+  EXPECT_EQ(tried.possibly_run.at(1).zone_name, "south");
 
   const Recovered& not_started = entry(2);
   EXPECT_EQ(not_started.attempts, 1);
   EXPECT_EQ(not_started.begun, 1);
-  EXPECT_TRUE(not_started.unsettled.empty());
+  EXPECT_TRUE(not_started.possibly_run.empty());
 }
 
 TEST_F(StoredJournal, RecoversUnacknowledgedFinalAnswers) {
@@ -116,7 +116,7 @@
 
 TEST_F(StoredJournal, RecoversDeliveryTerms) {
   const DeliveryTermsStore store(*journal_);
-  const DeliveryTerms terms = store.find({}, "orders", entry(0).rules);
+  const DeliveryTerms terms = store.find({}, "orders", entry(0).terms_number);
   EXPECT_EQ(terms.name, "orders");
   EXPECT_EQ(terms.idempotency, policy::Idempotency::kIdempotentWithKey);
   EXPECT_EQ(terms.deduplication_scope, policy::DeduplicationScope::kGroup);
@@ -128,7 +128,7 @@
   EXPECT_EQ(terms.late_weight_share, 0.25);
   EXPECT_EQ(terms.max_attempts, 4);
 
-  const DeliveryTerms by_name = store.find({}, "old-class", entry(5).rules);
+  const DeliveryTerms by_name = store.find({}, "old-class", entry(5).terms_number);
   EXPECT_EQ(by_name.idempotency, policy::Idempotency::kIdempotent);
   EXPECT_EQ(by_name.max_lifetime, 5'000'000);
   EXPECT_EQ(by_name.max_attempts, 0);
--- a/tests/relay/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -191,7 +191,7 @@
   upstream_.call(std::move(calls));
   upstream_.cancel(1, 0);
   EXPECT_EQ(ends_.size(), 2u);
-  EXPECT_EQ(upstream_.out(), 0u);
+  EXPECT_EQ(upstream_.in_flight_count(), 0u);
 }
 
 TEST_F(UpstreamTest, ABrokenConnectionAfterTheLastByteIsAReset) {
