--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -7,9 +7,84 @@
 namespace turntally::sim {
 namespace {
 
-constexpr size_t kMemberBytes = 24;
-constexpr uint32_t kLists = 16;  // host lists are numbered below this
-constexpr size_t kLongestText = 0xffff;
+constexpr size_t kListEntryBytes = 24;
+constexpr uint32_t kMaxLists = 16;  // lists of endpoints are numbered below this
+constexpr size_t kMaxTextBytes = 0xffff;
+constexpr uint16_t kAllPeers = 0xffff;
+
+// The wire's own names stand here, and nowhere behind this file: codes of records, then fields as messages of
+// errors name them.
+enum class EventCode : uint8_t {
+  kPowerOn = 1,
+  kView = 2,
+  kRequest = 3,
+  kFirst = 4,
+  kOutcome = 5,
+  kDropped = 6,
+  kBell = 7,
+  kHealth = 8,
+  kWhisper = 9,
+  kKill = 10,
+  kDefineList = 11,
+  kSwitchTo = 12
+};
+
+enum class ActionCode : uint8_t {
+  kRelease = 1,
+  kPushBack = 2,
+  kWakeMe = 3,
+  kSpeaking = 4,
+  kCallOff = 5,
+  kPanic = 6,
+  kRoute = 7,
+  kStreamChanges = 8,
+  kLog = 10,
+  kSignal = 11,
+  kLose = 12,
+  kSoundOut = 13
+};
+
+enum ViewForm : uint8_t { kDelta = 0, kCached = 2, kFailed = 3, kFull = 4 };
+enum Readiness : uint8_t { kGone = 0, kReady = 1, kDraining = 2 };
+
+namespace field {
+
+constexpr char kEndpoint[] = "host";
+constexpr char kLoadReport[] = "metrics";
+constexpr char kListing[] = "readiness";
+constexpr char kZone[] = "area";
+constexpr char kWeight[] = "power_hint";
+constexpr char kEntryDestination[] = "cell";
+constexpr char kStartTime[] = "start_time_s";
+constexpr char kKind[] = "hw";
+constexpr char kMessageId[] = "op_id";
+constexpr char kMessageClass[] = "category";
+constexpr char kTenant[] = "customer";
+constexpr char kOrderingKey[] = "entity";
+constexpr char kDeadline[] = "due_s";
+constexpr char kEffort[] = "effort_s";
+constexpr char kMessageDestination[] = "terminates_at";
+constexpr char kOptions[] = "options";
+constexpr char kOutcome[] = "state_code";
+constexpr char kLatency[] = "took_s";
+constexpr char kFinal[] = "final";
+constexpr char kRetryAfter[] = "note";
+constexpr char kAttempt[] = "hop";
+constexpr char kGossipFrom[] = "by";
+constexpr char kGossip[] = "octets";
+constexpr char kSeed[] = "prng";
+constexpr char kSettings[] = "facts";
+constexpr char kList[] = "ref";
+constexpr char kForm[] = "form";
+constexpr char kRevision[] = "gen";
+constexpr char kTimerToken[] = "mark";
+constexpr char kListEntries[] = "nodes_list";
+constexpr char kInstance[] = "relay_id";
+constexpr char kStreamedPart[] = "first";
+
+}  // namespace field
+
+constexpr size_t kStreamedPartBytes = 23;
 
 // Reads big-endian fields and knows where it stands.
 class Reader {
@@ -27,11 +102,9 @@
 
   template <typename T>
   T number(const char* what) {
-    T value = 0;
-    for (const char byte : raw(sizeof(T), what)) {
-      value = static_cast<T>((static_cast<uint64_t>(value) << 8) | static_cast<uint8_t>(byte));
-    }
-    return value;
+    uint64_t value = 0;
+    for (const char byte : raw(sizeof(T), what)) value = (value << 8) | static_cast<uint8_t>(byte);
+    return static_cast<T>(value);
   }
 
   uint8_t u8(const char* what) { return number<uint8_t>(what); }
@@ -41,23 +114,23 @@
   float f32(const char* what) { return std::bit_cast<float>(u32(what)); }
 
   Time time(const char* what) {
-    const double seconds = std::bit_cast<double>(u64(what));
+    const auto seconds = std::bit_cast<double>(u64(what));
     if (!(std::abs(seconds) < 1e12)) fail(std::string(what) + " is out of range");
     return std::llround(seconds * 1e6);
   }
 
   Endpoint endpoint() {
     Endpoint out;
-    out.address = u32("host");
-    out.port = u16("host");
+    out.address = u32(field::kEndpoint);
+    out.port = u16(field::kEndpoint);
     return out;
   }
 
   std::vector<float> report() {
-    const size_t count = u8("metrics");
-    if (count * sizeof(float) > left()) fail("metrics is cut short");
+    const size_t count = u8(field::kLoadReport);
+    if (count * sizeof(float) > left()) fail(std::string(field::kLoadReport) + " is cut short");
     std::vector<float> out(count);
-    for (float& value : out) value = f32("metrics");
+    for (float& value : out) value = f32(field::kLoadReport);
     return out;
   }
 
@@ -71,35 +144,36 @@
   size_t at_ = 0;
 };
 
-policy::EndpointInfo read_member(Reader& in) {
+policy::EndpointInfo read_endpoint(Reader& in) {
   policy::EndpointInfo out;
-  const uint8_t state = in.u8("readiness");
-  if (state > 2) in.fail("unknown readiness");
-  out.listing = state == 1   ? policy::Listing::kReady
-                : state == 2 ? policy::Listing::kDraining
-                             : policy::Listing::kGone;
-  out.zone = in.u8("area");
-  out.weight = in.f32("power_hint");
+  const uint8_t state = in.u8(field::kListing);
+  if (state > kDraining) in.fail(std::string("unknown ") + field::kListing);
+  out.listing = state == kReady      ? policy::Listing::kReady
+                : state == kDraining ? policy::Listing::kDraining
+                                     : policy::Listing::kGone;
+  out.zone = in.u8(field::kZone);
+  out.weight = in.f32(field::kWeight);
   if (!std::isfinite(out.weight)) out.weight = 0;
   out.endpoint = in.endpoint();
-  out.destination = in.u16("cell");
-  in.time("start_time_s");
-  out.kind = in.u16("hw");
+  out.destination = in.u16(field::kEntryDestination);
+  in.time(field::kStartTime);
+  out.kind = in.u16(field::kKind);
   return out;
 }
 
-policy::MessageArrived read_arrival(Reader& in) {
+policy::MessageArrived read_message(Reader& in) {
   policy::MessageArrived out;
-  out.id = in.u64("op_id");
-  out.message_class = in.u8("category");
-  out.tenant = in.u16("customer");
-  out.ordering_key = in.u64("entity");
-  out.deadline = in.time("due_s");
-  in.time("effort_s");
-  const float destination = in.f32("terminates_at");
-  if (!(destination >= 0 && destination <= 0xffff)) in.fail("terminates_at is out of range");
+  out.id = in.u64(field::kMessageId);
+  out.message_class = in.u8(field::kMessageClass);
+  out.tenant = in.u16(field::kTenant);
+  out.ordering_key = in.u64(field::kOrderingKey);
+  out.deadline = in.time(field::kDeadline);
+  in.time(field::kEffort);
+  const float destination = in.f32(field::kMessageDestination);
+  if (!(destination >= 0 && destination <= 0xffff))
+    in.fail(std::string(field::kMessageDestination) + " is out of range");
   out.destination = static_cast<int>(destination);
-  in.u8("options");
+  in.u8(field::kOptions);
   return out;
 }
 
@@ -108,42 +182,109 @@
                                          policy::Outcome::kRejected,      policy::Outcome::kTimeout,
                                          policy::Outcome::kConnectFailed, policy::Outcome::kReset,
                                          policy::Outcome::kCancelled,     policy::Outcome::kNotStarted};
-  const uint8_t code = in.u8("state_code");
-  if (code >= std::size(kByCode)) in.fail("unknown state_code");
+  const uint8_t code = in.u8(field::kOutcome);
+  if (code >= std::size(kByCode)) in.fail(std::string("unknown ") + field::kOutcome);
   return kByCode[code];
 }
 
 policy::AttemptEnded read_outcome(Reader& in) {
   policy::AttemptEnded out;
-  out.id = in.u64("op_id");
+  out.id = in.u64(field::kMessageId);
   out.endpoint = in.endpoint();
-  out.latency = in.time("took_s");
+  out.latency = in.time(field::kLatency);
   out.outcome = to_outcome(in);
-  out.final = in.u8("final") != 0;
-  const uint32_t note = in.u32("note");
+  out.final = in.u8(field::kFinal) != 0;
+  const uint32_t note = in.u32(field::kRetryAfter);
   if (out.outcome == policy::Outcome::kRejected) out.retry_after = Time{note} * 1000;
-  out.attempt = in.u8("hop");
+  out.attempt = in.u8(field::kAttempt);
   out.load_report = in.report();
   return out;
 }
 
-policy::HealthCheckEnded read_probe(Reader& in) {
+policy::HealthCheckEnded read_health_check(Reader& in) {
   policy::HealthCheckEnded out;
   out.endpoint = in.endpoint();
   out.ok = to_outcome(in) == policy::Outcome::kOk;
-  out.latency = in.time("took_s");
+  out.latency = in.time(field::kLatency);
   out.load_report = in.report();
   return out;
 }
 
-policy::GossipReceived read_note(Reader& in) {
+PowerOn read_power_on(Reader& in) {
+  PowerOn out;
+  out.seed = in.u64(field::kSeed);
+  const uint32_t count = in.u32(field::kSettings);
+  out.facts = in.raw(count, field::kSettings);
+  return out;
+}
+
+policy::GossipReceived read_gossip(Reader& in) {
   policy::GossipReceived out;
-  out.from = in.u16("by");
-  const uint16_t count = in.u16("octets");
-  out.bytes = in.raw(count, "octets");
+  out.from = in.u16(field::kGossipFrom);
+  const uint16_t count = in.u16(field::kGossip);
+  out.bytes = in.raw(count, field::kGossip);
   return out;
 }
 
+using Lists = std::map<uint32_t, std::shared_ptr<const std::vector<policy::EndpointInfo>>>;
+
+void define_list(Reader& in, Lists& lists) {
+  const uint32_t number = in.u32(field::kList);
+  const uint32_t count = in.u32(field::kListEntries);
+  if (number >= kMaxLists) in.fail("list number is out of range");
+  if (count > in.left() / kListEntryBytes) in.fail(std::string(field::kListEntries) + " is cut short");
+  auto list = std::make_shared<std::vector<policy::EndpointInfo>>();
+  list->reserve(count);
+  for (uint32_t i = 0; i < count; ++i) list->push_back(read_endpoint(in));
+  lists[number] = std::move(list);
+}
+
+policy::EndpointListChanged read_list_change(Reader& in, const Lists& lists) {
+  using Form = policy::EndpointListChanged::Form;
+  const uint32_t number = in.u32(field::kList);
+  const uint8_t form = in.u8(field::kForm);
+  in.u32(field::kRevision);
+  policy::EndpointListChanged event;
+  if (form == kFailed) {
+    event.form = Form::kFailed;
+    return event;
+  }
+  if (form != kDelta && form != kCached && form != kFull) in.fail("unknown form");
+  event.form = form == kDelta ? Form::kDelta : Form::kFull;
+  const auto list = lists.find(number);
+  if (list == lists.end()) in.fail("view of an undefined list");
+  event.endpoints = list->second;
+  return event;
+}
+
+// `start`: where the record begins.
+std::variant<policy::Event, PowerOn, Kill> read_event(EventCode code, Reader& in, const Lists& lists,
+                                                      size_t start) {
+  switch (code) {
+    case EventCode::kPowerOn:
+      return read_power_on(in);
+    case EventCode::kView:
+      return policy::Event(read_list_change(in, lists));
+    case EventCode::kRequest:
+      return policy::Event(read_message(in));
+    case EventCode::kOutcome:
+      return policy::Event(read_outcome(in));
+    case EventCode::kDropped:
+      return policy::Event(policy::MessageWithdrawn{in.u64(field::kMessageId)});
+    case EventCode::kBell:
+      return policy::Event(policy::TimerFired{in.u64(field::kTimerToken)});
+    case EventCode::kHealth:
+      return policy::Event(read_health_check(in));
+    case EventCode::kWhisper:
+      return policy::Event(read_gossip(in));
+    case EventCode::kKill:
+      return Kill{};
+    default:
+      throw WireError("unknown event code " + std::to_string(static_cast<int>(code)) + " at byte " +
+                      std::to_string(start));
+  }
+}
+
 template <typename T>
 void put(std::string& out, T value) {
   for (int shift = 8 * (static_cast<int>(sizeof(T)) - 1); shift >= 0; shift -= 8) {
@@ -151,6 +292,8 @@
   }
 }
 
+void put_code(std::string& out, ActionCode code) { put(out, static_cast<uint8_t>(code)); }
+
 void put_time(std::string& out, Time value) {
   put(out, std::bit_cast<uint64_t>(static_cast<double>(value) / 1e6));
 }
@@ -161,7 +304,7 @@
 }
 
 void put_text(std::string& out, std::string_view text) {
-  text = text.substr(0, kLongestText);
+  text = text.substr(0, kMaxTextBytes);
   put(out, static_cast<uint16_t>(text.size()));
   out.append(text);
 }
@@ -171,50 +314,50 @@
   std::string& out;
 
   void operator()(const policy::SendAttempt& a) const {
-    put<uint8_t>(out, 7);
+    put_code(out, ActionCode::kRoute);
     put(out, a.id);
     put_endpoint(out, a.endpoint);
     put_time(out, a.timeout);
   }
   void operator()(const policy::Reject& a) const {
-    put<uint8_t>(out, 2);
+    put_code(out, ActionCode::kPushBack);
     put(out, a.id);
     put_time(out, a.retry_after);
   }
   void operator()(const policy::Fail& a) const {
-    put<uint8_t>(out, 12);
+    put_code(out, ActionCode::kLose);
     put(out, a.id);
   }
   void operator()(const policy::Cancel& a) const {
-    put<uint8_t>(out, 5);
+    put_code(out, ActionCode::kCallOff);
     put(out, a.id);
     put(out, static_cast<uint8_t>(a.attempt));
   }
   void operator()(const policy::SendHealthCheck& a) const {
-    put<uint8_t>(out, 13);
+    put_code(out, ActionCode::kSoundOut);
     put_endpoint(out, a.endpoint);
   }
   void operator()(const policy::CloseIdleConnections& a) const {
-    put<uint8_t>(out, 1);
+    put_code(out, ActionCode::kRelease);
     put_endpoint(out, a.endpoint);
   }
   void operator()(const policy::SetTimer& a) const {
-    put<uint8_t>(out, 3);
+    put_code(out, ActionCode::kWakeMe);
     put(out, a.token);
     put_time(out, a.at);
   }
   void operator()(const policy::OpenListWatch&) const {
-    put<uint8_t>(out, 8);
-    put<uint8_t>(out, 1);
+    put_code(out, ActionCode::kStreamChanges);
+    put<uint8_t>(out, 1);  // enabled
   }
   void operator()(const policy::SendGossip& a) const {
-    put<uint8_t>(out, 11);
-    put<uint16_t>(out, 0xffff);
+    put_code(out, ActionCode::kSignal);
+    put(out, kAllPeers);
     put_text(out, a.bytes);
   }
   void operator()(const policy::PersistDestinationState&) const {}
   void operator()(const policy::Log& a) const {
-    put<uint8_t>(out, 10);
+    put_code(out, ActionCode::kLog);
     put_text(out, a.text);
   }
 };
@@ -235,81 +378,19 @@
   Reader in(body, kHeaderBytes);
   std::vector<InstanceEvent> out;
   int instance = -1;
-  const auto add = [&](std::variant<policy::Event, PowerOn, Kill> event) {
-    if (instance < 0) in.fail("event before switch_to");
-    out.push_back({instance, std::move(event)});
-  };
   for (uint32_t i = 0; i < header.records; ++i) {
     const size_t start = in.position();
-    const uint8_t code = in.u8("event code");
-    switch (code) {
-      case 1: {
-        PowerOn event;
-        event.seed = in.u64("prng");
-        const uint32_t count = in.u32("facts");
-        event.facts = in.raw(count, "facts");
-        add(std::move(event));
-        break;
-      }
-      case 2: {
-        const uint32_t ref = in.u32("ref");
-        const uint8_t form = in.u8("form");
-        in.u32("gen");
-        policy::EndpointListChanged event;
-        if (form == 3) {
-          event.form = policy::EndpointListChanged::Form::kFailed;
-        } else if (form == 0 || form == 2 || form == 4) {
-          event.form = form == 0 ? policy::EndpointListChanged::Form::kDelta
-                                 : policy::EndpointListChanged::Form::kFull;
-          const auto list = lists_.find(ref);
-          if (list == lists_.end()) in.fail("view of an undefined list");
-          event.endpoints = list->second;
-        } else {
-          in.fail("unknown form");
-        }
-        add(policy::Event(std::move(event)));
-        break;
-      }
-      case 3:
-        add(policy::Event(read_arrival(in)));
-        break;
-      case 4:  // the first part of a streamed answer: outside this service type
-        in.raw(23, "first");
-        break;
-      case 5:
-        add(policy::Event(read_outcome(in)));
-        break;
-      case 6:
-        add(policy::Event(policy::MessageWithdrawn{in.u64("op_id")}));
-        break;
-      case 7:
-        add(policy::Event(policy::TimerFired{in.u64("mark")}));
-        break;
-      case 8:
-        add(policy::Event(read_probe(in)));
-        break;
-      case 9:
-        add(policy::Event(read_note(in)));
-        break;
-      case 10:
-        add(Kill{});
-        break;
-      case 11: {
-        const uint32_t ref = in.u32("ref");
-        const uint32_t count = in.u32("nodes_list");
-        if (ref >= kLists) in.fail("list number is out of range");
-        if (count > in.left() / kMemberBytes) in.fail("nodes_list is cut short");
-        auto list = std::make_shared<std::vector<policy::EndpointInfo>>();
-        list->reserve(count);
-        for (uint32_t k = 0; k < count; ++k) list->push_back(read_member(in));
-        lists_[ref] = std::move(list);
-        break;
-      }
-      case 12:
-        instance = in.u16("relay_id");
-        break;
-      default:
-        throw WireError("unknown event code " + std::to_string(code) + " at byte " + std::to_string(start));
+    const auto code = static_cast<EventCode>(in.u8("event code"));
+    if (code == EventCode::kSwitchTo) {
+      instance = in.u16(field::kInstance);
+    } else if (code == EventCode::kDefineList) {
+      define_list(in, lists_);
+    } else if (code == EventCode::kFirst) {  // of a streamed answer: outside this service type
+      in.raw(kStreamedPartBytes, field::kStreamedPart);
+    } else {
+      auto event = read_event(code, in, lists_, start);
+      if (instance < 0) in.fail("event before switch_to");
+      out.push_back({instance, std::move(event)});
     }
   }
   if (in.left() > 0) in.fail("bytes left over");
@@ -317,7 +398,7 @@
 }
 
 void Encoder::speaking(int instance) {
-  put<uint8_t>(body_, 4);
+  put_code(body_, ActionCode::kSpeaking);
   put(body_, static_cast<uint16_t>(instance));
   ++records_;
 }
@@ -338,7 +419,7 @@
 
 void Encoder::panic(int instance, std::string_view text) {
   speaking(instance);
-  put<uint8_t>(body_, 6);
+  put_code(body_, ActionCode::kPanic);
   put_text(body_, text);
   ++records_;
 }
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -24,41 +24,46 @@
   using std::runtime_error::runtime_error;
 };
 
-struct PowerOn {
+struct PowerOn {  // a simulated relay starts
   uint64_t seed = 0;
-  std::string facts;
+  std::string facts;  // its settings, path=value lines
 };
 
-struct Kill {};
+struct Kill {};  // it ends at once
 
 struct InstanceEvent {
-  int instance = 0;
+  int instance = 0;  // number of the simulated relay
   std::variant<policy::Event, PowerOn, Kill> event;
 };
 
 struct Header {
-  uint32_t length = 0;
-  uint32_t records = 0;
-  Time clock = 0;
+  uint32_t length = 0;   // bytes that follow it
+  uint32_t records = 0;  // in those bytes
+  Time clock = 0;        // microseconds
 };
 
 constexpr size_t kHeaderBytes = 16;
 
+// Of kHeaderBytes bytes; throws WireError.
 Header decode_header(std::string_view bytes);
 
-// Decodes the records of batches, in order. Host lists outlive a batch, so one decoder serves one input.
+// Decodes the records of batches, in order. Lists of endpoints outlive a batch, so one decoder serves one
+// input.
 class Decoder {
  public:
+  // `body`: the header's `length` bytes. Throws WireError; nothing of the batch counts then.
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
 
  private:
   std::map<uint32_t, std::shared_ptr<const std::vector<policy::EndpointInfo>>> lists_;
 };
 
-// Builds one reply.
+// Builds one reply: the actions of each instance in the order given, then the whole frame.
 class Encoder {
  public:
+  // What outlasts no simulated relay (PersistDestinationState) is left out.
   void actions(int instance, std::span<const policy::Action> actions);
+  // A crash of that instance's policy, with its words.
   void panic(int instance, std::string_view text);
   std::string frame() const;
 
