--- a/net/json_splitter.cpp
+++ b/net/json_splitter.cpp
@@ -19,38 +19,42 @@
     const char c = held_[at_++];
     const bool blank = c == ' ' || c == '\t' || c == '\r' || c == '\n';
     told_ += blank ? 0 : 1;
-    if (c == '\n' && (plain_ || quoted_)) {
-      said_ = false;
-      return take(at_ - 1);
-    }
-    if (c == '\n' && depth_ == 0) {
-      if (!std::exchange(said_, false)) return take(at_ - 1);
-      continue;
-    }
-    if (plain_ || (blank && !quoted_)) continue;
-    if (begin_ == std::string::npos) {
-      begin_ = at_ - 1;
-      plain_ = c != '{' && c != '[';
-    }
-    if (escaped_) {
-      escaped_ = false;
-    } else if (quoted_) {
-      escaped_ = c == '\\';
-      quoted_ = c != '"';
-    } else if (c == '"') {
-      quoted_ = !plain_;
-    } else if (!plain_ && (c == '{' || c == '[')) {
-      ++depth_;
-    } else if (!plain_ && (c == '}' || c == ']') && --depth_ == 0) {
-      said_ = true;
+    if (c == '\n' && (plain_ || quoted_ || depth_ == 0)) {
+      const bool said = std::exchange(said_, false);
+      if (plain_ || quoted_ || !said) return take(at_ - 1);
+    } else if (!plain_ && (quoted_ || !blank) && ends_text(c)) {
       return take(at_);
     }
   }
+  drop_handed_out();
+  return {};
+}
+
+// `c`: the character before at_, which is part of a text.
+bool JsonSplitter::ends_text(char c) {
+  if (begin_ == std::string::npos) {
+    begin_ = at_ - 1;
+    plain_ = c != '{' && c != '[';
+  }
+  if (plain_) return false;
+  if (quoted_) {
+    const bool escaped = std::exchange(escaped_, false);
+    escaped_ = !escaped && c == '\\';
+    quoted_ = escaped || c != '"';
+    return false;
+  }
+  quoted_ = c == '"';
+  if (c == '{' || c == '[') ++depth_;
+  if ((c != '}' && c != ']') || --depth_ != 0) return false;
+  said_ = true;
+  return true;
+}
+
+void JsonSplitter::drop_handed_out() {
   held_.erase(0, done_);
   at_ -= done_;
   if (begin_ != std::string::npos) begin_ -= done_;
   done_ = 0;
-  return {};
 }
 
 }  // namespace turntally::net
--- a/net/json_splitter.h
+++ b/net/json_splitter.h
@@ -24,6 +24,8 @@
 
  private:
   std::string take(size_t end);
+  bool ends_text(char c);
+  void drop_handed_out();
 
   std::string held_;
   size_t done_ = 0;                   // before it everything has been handed out
