--- a/net/http.cpp
+++ b/net/http.cpp
@@ -18,7 +18,7 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr size_t kMostHead = 16 * 1024;
+constexpr size_t kMostHead = size_t{16} * 1024;
 constexpr size_t kMostLinger = 4;  // bodies' limits that are thrown away behind the last answer
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
 
@@ -210,7 +210,7 @@
     written_ = std::move(written);
     ended_ = std::move(ended);
     std::string text = "HTTP/1.1 200 OK\r\nContent-Type: " + head.type + "\r\nTransfer-Encoding: chunked\r\n";
-    for (const auto& [name, value] : head.fields) text += name + ": " + value + "\r\n";
+    for (const auto& [name, value] : head.fields) text.append(name).append(": ").append(value).append("\r\n");
     write(std::make_shared<std::string>(text + "\r\n"));
     watch_for_end();
   }
--- a/net/http.h
+++ b/net/http.h
@@ -63,7 +63,7 @@
   // Beyond it the oldest that has no call on it goes, else the oldest stream; while each waits for its answer
   // no other is let in.
   size_t connections = 12'000;
-  size_t body = 8 * 1024 * 1024;
+  size_t body = size_t{8} * 1024 * 1024;    // bytes, of a request
   std::chrono::milliseconds idle{60'000};   // between requests, and for the bytes of one
   std::chrono::milliseconds write{30'000};  // for an answer, or a chunk, that is not read
   std::chrono::milliseconds linger{2'000};  // for the caller's close, after the last answer
--- a/net/lines.cpp
+++ b/net/lines.cpp
@@ -9,7 +9,7 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr size_t kMostHeld = 8 * 1024 * 1024;
+constexpr size_t kMostHeld = size_t{8} * 1024 * 1024;
 
 }  // namespace
 
@@ -55,29 +55,31 @@
 
 void Lines::read() {
   http::async_read_some(stream_, buffer_, parser_, [self = shared_from_this()](const Error& error, size_t) {
-    if (!self->ended_) return;
-    std::string& body = self->parser_.get().body();
-    self->texts_.add(body);
-    body.clear();
-    const uint64_t told = self->texts_.told();
-    const auto now = std::chrono::steady_clock::now();
-    bool news = false;
-    while (const auto text = self->texts_.next()) {
-      news = true;
-      const bool readable = self->line_(*text);
-      if (!self->ended_) return;
-      if (!readable) return self->end(End::kUnreadable);
-    }
-    if (news || !self->texts_.within()) self->whole_ = now;
-    if (now - self->whole_ > kMostText * self->silence_ || self->texts_.size() > kMostHeld) {
-      return self->end(End::kUnreadable);
-    }
-    if (error || self->parser_.is_done()) return self->end(End::kEnded);
-    if (news || self->texts_.told() > told) self->heard();
-    self->read();
+    if (self->ended_) self->take_body(error || self->parser_.is_done());
   });
 }
 
+// `last`: nothing comes behind it.
+void Lines::take_body(bool last) {
+  std::string& body = parser_.get().body();
+  texts_.add(body);
+  body.clear();
+  const uint64_t told = texts_.told();
+  const auto now = std::chrono::steady_clock::now();
+  bool news = false;
+  while (const auto text = texts_.next()) {
+    news = true;
+    const bool readable = line_(*text);
+    if (!ended_) return;  // closed from there
+    if (!readable) return end(End::kUnreadable);
+  }
+  if (news || !texts_.within()) whole_ = now;
+  if (now - whole_ > kMostText * silence_ || texts_.size() > kMostHeld) return end(End::kUnreadable);
+  if (last) return end(End::kEnded);
+  if (news || texts_.told() > told) heard();
+  read();
+}
+
 // Guards against a process or a path that fell silent with its connection open.
 void Lines::heard() {
   timer_.expires_after(silence_);
--- a/net/lines.h
+++ b/net/lines.h
@@ -35,12 +35,15 @@
   Lines(boost::asio::io_context& io, const tcp::endpoint& address, std::chrono::milliseconds silence,
         Line line, std::function<void(End)> ended);
 
+  // Once. `target`: the path with its query.
   void start(const std::string& target);
+  // For good; `ended` is not called.
   void close();
   const tcp::endpoint& address() const { return address_; }
 
  private:
   void read();
+  void take_body(bool last);
   void heard();
   void end(End how);
 
--- a/net/linger.cpp
+++ b/net/linger.cpp
@@ -12,7 +12,7 @@
   Stream& stream;
   size_t left;
   std::function<void()> over;
-  std::array<char, 16 * 1024> rest;
+  std::array<char, size_t{16} * 1024> rest;
 
   Linger(Stream& ended, size_t bytes, std::function<void()> then)
       : stream(ended), left(bytes), over(std::move(then)) {}
--- a/net/toml.cpp
+++ b/net/toml.cpp
@@ -132,7 +132,7 @@
   if (node == nullptr && fallback) return *fallback;
   if (node == nullptr) refuse(key, "is missing");
   if (!node->is_string()) refuse(key, "is no text");
-  const auto value = *node->value<std::string>();
+  auto value = *node->value<std::string>();
   if (!allowed.empty() && !allowed.contains(value)) {
     refuse(key, "is '" + value + "', must be one of: " + listed(allowed));
   }
