--- a/controller/backup.cpp
+++ b/controller/backup.cpp
@@ -284,7 +284,9 @@
         std::copy_if(files.begin(), files.end(), std::back_inserter(old),
                      [](const std::string& one) { return one.starts_with(".") && one.ends_with(kPart); });
         for (const std::string& one : old) {
-          if (::unlink((folder + "/" + one).c_str()) != 0 && errno != ENOENT) unusable(folder + "/" + one);
+          std::string path = folder;
+          path.append("/").append(one);
+          if (::unlink(path.c_str()) != 0 && errno != ENOENT) unusable(path);
         }
       },
       [] {});
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -12,7 +12,7 @@
   if (config.http) {
     net::HttpLimits limits;
     limits.connections = 100;
-    limits.body = 64 * 1024;
+    limits.body = size_t{64} * 1024;
     server_ = std::make_unique<net::HttpServer>(
         io, *config.http, limits,
         [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& answer) {
@@ -31,7 +31,7 @@
   for (const auto& task : tasks_) task->start();
 }
 
-void Controller::close(std::function<void()> closed) {
+void Controller::close(const std::function<void()>& closed) {
   open_ = tasks_.size();
   for (const auto& task : tasks_) {
     task->close([this, closed] {
--- a/controller/controller.h
+++ b/controller/controller.h
@@ -19,7 +19,7 @@
   Controller(boost::asio::io_context& io, const Config& config);
 
   // Gives all leases back when nothing is out any more. `closed` is called once.
-  void close(std::function<void()> closed);
+  void close(const std::function<void()>& closed);
   nlohmann::json status() const;
   std::string metrics() const;
 
