--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -1,6 +1,7 @@
 // turntally lab: check, run, compare.
 #include <unistd.h>
 
+#include <array>
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -229,19 +230,60 @@
   return kHeld;
 }
 
-int compare(const CompareOptions& options) {
-  const Scenario scenario = read_scenario(options.file);
-  const std::string files[] = {options.file, options.b_file.empty() ? options.file : options.b_file};
-  const Scenario scenarios[] = {scenario, read_scenario(files[1])};
-  const std::string builds[] = {program("--a", options.a), program("--b", options.b)};
-  if (files[0] == files[1] && builds[0] == builds[1]) {
+// One side of a comparison, a and b.
+struct Side {
+  std::string name;
+  std::string file;
+  Scenario scenario;
+  std::string build;
+};
+
+std::array<Side, 2> sides_of(const CompareOptions& options) {
+  const std::string b_file = options.b_file.empty() ? options.file : options.b_file;
+  std::array<Side, 2> out = {Side{"a", options.file, read_scenario(options.file), {}},
+                             Side{"b", b_file, read_scenario(b_file), {}}};
+  out[0].build = program("--a", options.a);
+  out[1].build = program("--b", options.b);
+  if (out[0].file == out[1].file && out[0].build == out[1].build) {
     throw net::BadInput("--a, --b, --b-file: name two builds, or a scenario for the other side");
   }
-  if (draw_plan(scenarios[0], 1).text() != draw_plan(scenarios[1], 1).text()) {
-    throw net::BadInput("--b-file " + files[1] +
+  if (draw_plan(out[0].scenario, 1).text() != draw_plan(out[1].scenario, 1).text()) {
+    throw net::BadInput("--b-file " + out[1].file +
                         ": draws another plan, so that the sides cannot be compared");
   }
-  const std::string folder = new_folder(options.out, scenario.name + "-compare", 0);
+  return out;
+}
+
+Outcome run_side(const Side& side, uint64_t seed, const std::string& folder) {
+  RunOptions one;
+  one.file = side.file;
+  one.seed = seed;
+  one.plots = false;
+  const std::string here = folder + "/" + side.name + "-" + std::to_string(seed);
+  fs::create_directories(here);
+  Outcome out = run_once(one, side.scenario, here, side.build);
+  std::fprintf(stderr, "seed %llu %s: worth %.4f, %s\n", static_cast<unsigned long long>(seed),
+               side.name.c_str(), out.figures.worth,
+               out.summary.substr(out.summary.rfind("invariants")).c_str());
+  return out;
+}
+
+std::string json_of(const std::vector<Difference>& differences) {
+  nlohmann::ordered_json json = nlohmann::ordered_json::array();
+  for (const Difference& d : differences) {
+    json.push_back({{"figure", d.figure},
+                    {"a", d.a},
+                    {"b", d.b},
+                    {"low", d.low},
+                    {"high", d.high},
+                    {"by_seed", d.by_seed}});
+  }
+  return json.dump(2);
+}
+
+int compare(const CompareOptions& options) {
+  const std::array<Side, 2> sides = sides_of(options);
+  const std::string folder = new_folder(options.out, sides[0].scenario.name + "-compare", 0);
   std::vector<Pair> pairs;
   bool all_held = true;
   bool measured = true;
@@ -249,34 +291,16 @@
     Pair pair{seed, {}, {}};
     for (size_t turn = 0; turn < 2; ++turn) {
       const size_t side = (turn + seed) % 2;  // who is first changes with the seed
-      RunOptions one;
-      one.file = files[side];
-      one.seed = seed;
-      one.plots = false;
-      const std::string here = folder + "/" + (side == 0 ? "a" : "b") + "-" + std::to_string(seed);
-      fs::create_directories(here);
-      const Outcome out = run_once(one, scenarios[side], here, builds[side]);
+      const Outcome out = run_side(sides[side], seed, folder);
       (side == 0 ? pair.a : pair.b) = out.figures;
       all_held = all_held && held(out.verdicts);
       measured = measured && out.figures.measured;
-      std::fprintf(stderr, "seed %llu %s: worth %.4f, %s\n", static_cast<unsigned long long>(seed),
-                   side == 0 ? "a" : "b", out.figures.worth,
-                   out.summary.substr(out.summary.rfind("invariants")).c_str());
     }
     pairs.push_back(pair);
   }
   const auto all = differences(pairs);
   if (options.json) {
-    nlohmann::ordered_json json = nlohmann::ordered_json::array();
-    for (const Difference& d : all) {
-      json.push_back({{"figure", d.figure},
-                      {"a", d.a},
-                      {"b", d.b},
-                      {"low", d.low},
-                      {"high", d.high},
-                      {"by_seed", d.by_seed}});
-    }
-    std::printf("%s\n", json.dump(2).c_str());
+    std::printf("%s\n", json_of(all).c_str());
   } else {
     std::printf("%s%zu seeds by turns; runs in %s%s\n", table(all).c_str(), pairs.size(), folder.c_str(),
                 measured ? "" : "; NOT MEASURED: the lab was late in some run");
--- a/cli/registry.cpp
+++ b/cli/registry.cpp
@@ -79,60 +79,91 @@
   return out;
 }
 
+using Row = std::vector<std::string>;
+
+constexpr int64_t kSilentMs = 3000;  // heard of for longer than that ago, a majority or a source is silent
+
+// How long the source that has been silent the longest is so.
+int64_t longest_silence_ms(const json& member) {
+  int64_t out = 0;
+  for (const json& source : member.value("sources", json::array())) {
+    out = std::max(out, source.at("age_ms").get<int64_t>());
+  }
+  return out;
+}
+
+// What one member says of itself; an empty text: it is well.
+std::string trouble_of(const json& member) {
+  const int64_t heard = member.at("heard_ms");
+  const int64_t silent = longest_silence_ms(member);
+  if (std::string refusal = member.at("refusal"); !refusal.empty()) return refusal;
+  if (heard < 0 || heard >= kSilentMs) return "no majority heard";
+  if (silent > kSilentMs) return "the list's source is silent for " + std::to_string(silent) + " ms";
+  return "";
+}
+
+Row member_row(const std::string& address, const json& member, const std::string& trouble) {
+  const int64_t heard = member.at("heard_ms");
+  return {address,
+          member.at("member").dump(),
+          member.at("role"),
+          member.at("revision").dump(),
+          member.at("entries").dump(),
+          member.at("watchers").dump(),
+          heard < 0 ? "never" : std::to_string(heard) + " ms",
+          trouble.empty() ? "well" : trouble};
+}
+
+// Leases as the member knows them that has applied most.
+json newest_leases(const json& members) {
+  json out = json::array();
+  uint64_t newest = 0;
+  for (const json& one : members) {
+    if (one.value("applied", uint64_t{0}) < newest || !one.contains("leases")) continue;
+    newest = one["applied"];
+    out = one["leases"];
+  }
+  return out;
+}
+
+Row lease_row(const json& lease) {
+  const json before = lease["past"].empty() ? json() : lease["past"].back();
+  return {
+      lease["name"],
+      lease["holder"] == "" ? "-" : lease["holder"],
+      lease["token"].dump(),
+      lease["left_ms"].dump() + " ms",
+      std::to_string(lease["waiting"].size()),
+      lease["asked_for"],
+      before.is_null() ? "" : before["holder"].get<std::string>() + " " + before["how"].get<std::string>()};
+}
+
 int status(const RegistryOptions& where) {
   bool all = true;
   json out = json::array();
-  std::vector<std::vector<std::string>> rows = {
+  std::vector<Row> rows = {
       {"ADDRESS", "MEMBER", "ROLE", "REVISION", "ENTRIES", "WATCHERS", "HEARD", "STATE"}};
   for (const std::string& address : where.addresses()) {
     const auto reply = net::http_call(net::parse_address(address), {"GET", "/registry/status", {}, ""});
-    const json s = reply && reply->status == 200 ? json::parse(reply->body, nullptr, false) : json();
-    if (!s.is_object()) {
+    json member = reply && reply->status == 200 ? json::parse(reply->body, nullptr, false) : json();
+    if (!member.is_object()) {
       all = false;
       out.push_back({{"address", address}, {"reachable", false}});
       rows.push_back({address, "-", "-", "-", "-", "-", "-", "does not answer"});
       continue;
     }
-    json one = s;
-    one["address"] = address;
-    one["reachable"] = true;
-    const int64_t heard = s.at("heard_ms");
-    const std::string refusal = s.at("refusal");
-    int64_t silent = 0;
-    for (const json& source : s.value("sources", json::array())) {
-      silent = std::max(silent, source.at("age_ms").get<int64_t>());
-    }
-    const bool majority = heard >= 0 && heard < 3000;
-    const bool well = refusal.empty() && majority && silent <= 3000;
-    all = all && well;
-    rows.push_back({address, s.at("member").dump(), s.at("role"), s.at("revision").dump(),
-                    s.at("entries").dump(), s.at("watchers").dump(),
-                    heard < 0 ? "never" : std::to_string(heard) + " ms",
-                    !refusal.empty() ? refusal
-                    : well           ? "well"
-                    : !majority      ? "no majority heard"
-                                     : "the list's source is silent for " + std::to_string(silent) + " ms"});
-    out.push_back(std::move(one));
+    const std::string trouble = trouble_of(member);
+    all = all && trouble.empty();
+    rows.push_back(member_row(address, member, trouble));
+    member["address"] = address;
+    member["reachable"] = true;
+    out.push_back(std::move(member));
   }
   where.print(out, rows);
   if (!where.table()) return all ? kHeld : kBroken;
-  // As the member knows them that has applied most.
-  json leases = json::array();
-  uint64_t newest = 0;
-  for (const json& one : out) {
-    if (one.value("applied", uint64_t{0}) < newest || !one.contains("leases")) continue;
-    newest = one["applied"];
-    leases = one["leases"];
-  }
+  const json leases = newest_leases(out);
   rows = {{"LEASE", "HOLDER", "TOKEN", "LEFT", "WAITING", "ASKED FOR", "BEFORE"}};
-  for (const json& l : leases) {
-    const json before = l["past"].empty() ? json() : l["past"].back();
-    rows.push_back({l["name"], l["holder"] == "" ? "-" : l["holder"], l["token"].dump(),
-                    l["left_ms"].dump() + " ms", std::to_string(l["waiting"].size()), l["asked_for"],
-                    before.is_null()
-                        ? ""
-                        : before["holder"].get<std::string>() + " " + before["how"].get<std::string>()});
-  }
+  for (const json& lease : leases) rows.push_back(lease_row(lease));
   if (rows.size() > 1) {
     std::printf("\n");
     where.print(leases, rows);
@@ -163,6 +194,33 @@
   return kHeld;
 }
 
+int add_member(const Options& options) {
+  const json body = {{"http", options.http}};
+  options.where.client().get(
+      {"POST", "/registry/members/" + std::to_string(options.member), {}, body.dump()});
+  std::fprintf(stderr, "member %llu may join: start it\n", static_cast<unsigned long long>(options.member));
+  return kHeld;
+}
+
+int remove_member(const Options& options) {
+  options.where.client().get({"DELETE", "/registry/members/" + std::to_string(options.member), {}, ""});
+  std::fprintf(stderr, "member %llu is out\n", static_cast<unsigned long long>(options.member));
+  return kHeld;
+}
+
+int backup(const RegistryOptions& where) {
+  std::printf("%s\n", where.client().get({"GET", "/registry/backup", {}, ""}).dump().c_str());
+  return kHeld;
+}
+
+int restore(const Options& options) {
+  const json kept = read_json(options.file);
+  const json now = options.where.client().get({"POST", "/registry/restore", {}, kept.dump()});
+  std::fprintf(stderr, "restored: identity %s, revision %s\n", now.at("identity").get<std::string>().c_str(),
+               now.at("revision").dump().c_str());
+  return kHeld;
+}
+
 }  // namespace
 
 void RegistryOptions::add_to(CLI::App& command) {
@@ -244,41 +302,23 @@
           [] { return members(options.where); });
   CLI::App* add =
       command("add", "Let a further member in; then start it with an empty folder.",
-              "add 4 --http 127.0.0.1:7104 --at 127.0.0.1:7101", [] {
-                const json body = {{"http", options.http}};
-                options.where.client().get(
-                    {"POST", "/registry/members/" + std::to_string(options.member), {}, body.dump()});
-                std::fprintf(stderr, "member %llu may join: start it\n",
-                             static_cast<unsigned long long>(options.member));
-                return kHeld;
-              });
+              "add 4 --http 127.0.0.1:7104 --at 127.0.0.1:7101", [] { return add_member(options); });
   by_number(add);
   add->add_option("--http", options.http, "where clients call it")->required();
-  by_number(command("remove", "Take a member out of the registry.", "remove 4 --at 127.0.0.1:7101", [] {
-    options.where.client().get({"DELETE", "/registry/members/" + std::to_string(options.member), {}, ""});
-    std::fprintf(stderr, "member %llu is out\n", static_cast<unsigned long long>(options.member));
-    return kHeld;
-  }));
+  by_number(command("remove", "Take a member out of the registry.", "remove 4 --at 127.0.0.1:7101",
+                    [] { return remove_member(options); }));
   CLI::App* hand =
       command("hand-over", "Ask a lease's holder to hand it to another one, who must wait for it.",
               "hand-over task/mirror --at 127.0.0.1:7101", [] { return hand_over(options); });
   hand->add_option("LEASE", options.lease, "its name")->required();
   hand->add_option("--to", options.to, "who is to have it; else the next in line");
-  command("backup", "Write the whole list to standard output.", "backup --at 127.0.0.1:7101 > list.json", [] {
-    std::printf("%s\n", options.where.client().get({"GET", "/registry/backup", {}, ""}).dump().c_str());
-    return kHeld;
-  });
-  CLI::App* restore = command(
+  command("backup", "Write the whole list to standard output.", "backup --at 127.0.0.1:7101 > list.json",
+          [] { return backup(options.where); });
+  CLI::App* restore_command = command(
       "restore",
       "Put a backup in the list's place. The list gets a new identity, so that all clients take it whole.",
-      "restore list.json --at 127.0.0.1:7101", [] {
-        const json backup = read_json(options.file);
-        const json now = options.where.client().get({"POST", "/registry/restore", {}, backup.dump()});
-        std::fprintf(stderr, "restored: identity %s, revision %s\n",
-                     now.at("identity").get<std::string>().c_str(), now.at("revision").dump().c_str());
-        return kHeld;
-      });
-  restore->add_option("FILE", options.file, "a backup")->required();
+      "restore list.json --at 127.0.0.1:7101", [] { return restore(options); });
+  restore_command->add_option("FILE", options.file, "a backup")->required();
 }
 
 }  // namespace turntally::cli
--- a/cli/targets.cpp
+++ b/cli/targets.cpp
@@ -6,7 +6,9 @@
 #include <cstring>
 #include <fstream>
 #include <iostream>
+#include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <set>
 #include <sstream>
 
@@ -44,31 +46,34 @@
   return kHeld;
 }
 
+void print_watch_line(const json& line) {
+  const std::string revision = line.at("revision").dump();
+  if (line.contains("heard_ms")) {
+    std::printf("%s  this member has heard of no majority for %s ms\n", revision.c_str(),
+                line.at("heard_ms").dump().c_str());
+  }
+  if (line.contains("source_ms")) {
+    std::printf("%s  the list's source is silent for %s ms\n", revision.c_str(),
+                line.at("source_ms").dump().c_str());
+  }
+  if (line.at("complete").get<bool>()) {
+    std::printf("%s  whole list, %zu endpoints\n", revision.c_str(), line.at("members").size());
+  }
+  for (const json& m : line.at("members")) {
+    std::printf("%s  %-8s %s %s cell %s\n", revision.c_str(), m.at("phase").get<std::string>().c_str(),
+                m.at("id").get<std::string>().c_str(), m.at("host_port").get<std::string>().c_str(),
+                m.at("cell").dump().c_str());
+  }
+}
+
 int watch(const Options& options) {
-  const bool table = !options.where.json && ::isatty(1) != 0;
+  const bool table = options.where.table();
   options.where.client().watch([&](const std::string& line) {
     if (line.empty()) return true;
-    if (!table) {
-      std::printf("%s\n", line.c_str());
+    if (table) {
+      print_watch_line(json::parse(line));
     } else {
-      const json told = json::parse(line);
-      if (told.contains("heard_ms")) {
-        std::printf("%s  this member has heard of no majority for %s ms\n",
-                    told.at("revision").dump().c_str(), told.at("heard_ms").dump().c_str());
-      }
-      if (told.contains("source_ms")) {
-        std::printf("%s  the list's source is silent for %s ms\n", told.at("revision").dump().c_str(),
-                    told.at("source_ms").dump().c_str());
-      }
-      if (told.at("complete").get<bool>()) {
-        std::printf("%s  whole list, %zu endpoints\n", told.at("revision").dump().c_str(),
-                    told.at("members").size());
-      }
-      for (const json& m : told.at("members")) {
-        std::printf("%s  %-8s %s %s cell %s\n", told.at("revision").dump().c_str(),
-                    m.at("phase").get<std::string>().c_str(), m.at("id").get<std::string>().c_str(),
-                    m.at("host_port").get<std::string>().c_str(), m.at("cell").dump().c_str());
-      }
+      std::printf("%s\n", line.c_str());
     }
     return std::fflush(stdout) == 0;
   });
@@ -93,76 +98,103 @@
   return answer == "y" || answer == "yes";
 }
 
-int apply(const Options& options) {
-  std::ifstream in(options.file);
-  if (!in) throw FileUnreadable(options.file, std::strerror(errno));
+// Asks, and writes the items.
+int write_if_confirmed(const Options& options, Client& client, const json& items) {
+  if (confirmed(options)) return write(options, client, items);
+  std::fprintf(stderr, "nothing was written\n");
+  return kHeld;
+}
+
+// The registry's entries by id, as a backup has them.
+std::map<std::string, json> entries_of(Client& client) {
+  std::map<std::string, json> out;
+  const json backup = client.get({"GET", "/registry/backup", {}, ""});
+  for (const json& entry : backup.at("entries")) out[entry.at("id")] = entry;
+  return out;
+}
+
+// A file's list of entries, and the key that it stands under.
+std::pair<std::string, json> read_entries(const std::string& file) {
+  std::ifstream in(file);
+  if (!in) throw FileUnreadable(file, std::strerror(errno));
   std::stringstream text;
   text << in.rdbuf();
   const json wanted = json::parse(text.str(), nullptr, false);
   const char* const key = wanted.is_object() && wanted.contains("entries") ? "entries" : "members";
   if (!wanted.is_object() || !wanted.contains(key) || !wanted[key].is_array()) {
-    throw net::BadInput(options.file + ": must be a JSON object with a list \"entries\" (or \"members\")");
+    throw net::BadInput(file + ": must be a JSON object with a list \"entries\" (or \"members\")");
+  }
+  return {key, wanted[key]};
+}
+
+// `before`: null where the entry is new.
+void print_change(const std::string& id, const json& before, const json& now) {
+  std::fprintf(stderr, "%s %s", before.is_null() ? "+" : "~", id.c_str());
+  for (const auto& [field, value] : now.items()) {
+    if (before.is_null() ? field == "host_port" : before[field] != value) {
+      std::fprintf(stderr, "  %s %s%s", field.c_str(),
+                   before.is_null() ? "" : (before[field].dump() + " -> ").c_str(), value.dump().c_str());
+    }
   }
+  std::fprintf(stderr, "\n");
+}
+
+// What is to be written so that the registry has the entry; nothing where it has it.
+std::optional<json> change_of(const registry::Entry& entry, const std::map<std::string, json>& have) {
+  json now = registry::json_of(entry);
+  now.erase("revision");
+  const auto found = have.find(entry.id);
+  json before = found == have.end() ? json() : found->second;
+  const json revision = before.is_null() ? json(0) : before["revision"];
+  if (!before.is_null()) before.erase("revision");
+  if (before == now) return {};
+  if (!before.is_null() && before.contains("owner")) {  // only its phase is ours
+    if (before["phase"] == now["phase"]) return {};
+    const json phase = now["phase"];
+    now = before;
+    now["phase"] = phase;
+  }
+  print_change(entry.id, before, now);
+  return json{{"id", entry.id}, {"entry", now}, {"if_match", revision}};
+}
+
+// Of entries that the file does not name; those that are mirrored from elsewhere stay.
+void add_removals(const std::map<std::string, json>& have, const std::set<std::string>& named, json& items) {
+  for (const auto& [id, entry] : have) {
+    if (named.contains(id) || entry.contains("owner")) continue;
+    std::fprintf(stderr, "- %s  %s\n", id.c_str(), entry["host_port"].get<std::string>().c_str());
+    items.push_back({{"id", id}, {"entry", nullptr}, {"if_match", entry["revision"]}});
+  }
+}
+
+int apply(const Options& options) {
+  const auto [key, wanted] = read_entries(options.file);
   Client client = options.where.client();
-  std::map<std::string, json> have;
-  const json backup = client.get({"GET", "/registry/backup", {}, ""});
-  for (const json& entry : backup.at("entries")) have[entry.at("id")] = entry;
+  const std::map<std::string, json> have = entries_of(client);
   json items = json::array();
   std::set<std::string> named;
   size_t place = 0;
-  for (const json& one : wanted[key]) {
+  for (const json& one : wanted) {
     const std::string at = options.file + ": " + key + "[" + std::to_string(place++) + "]: ";
     try {
-      registry::Entry entry = registry::entry_of(one, "");
+      const registry::Entry entry = registry::entry_of(one, "");
       if (!named.insert(entry.id).second) throw std::invalid_argument("'" + entry.id + "' is there twice");
-      json now = registry::json_of(entry);
-      now.erase("revision");
-      json before = have.contains(entry.id) ? have[entry.id] : json();
-      const json revision = before.is_null() ? json(0) : before["revision"];
-      if (!before.is_null()) before.erase("revision");
-      if (before == now) continue;
-      if (!before.is_null() && before.contains("owner")) {  // only its phase is ours
-        if (before["phase"] == now["phase"]) continue;
-        const json phase = now["phase"];
-        now = before;
-        now["phase"] = phase;
-      }
-      std::fprintf(stderr, "%s %s", before.is_null() ? "+" : "~", entry.id.c_str());
-      for (const auto& [field, value] : now.items()) {
-        if (before.is_null() ? field == "host_port" : before[field] != value) {
-          std::fprintf(stderr, "  %s %s%s", field.c_str(),
-                       before.is_null() ? "" : (before[field].dump() + " -> ").c_str(), value.dump().c_str());
-        }
-      }
-      std::fprintf(stderr, "\n");
-      items.push_back({{"id", entry.id}, {"entry", now}, {"if_match", revision}});
+      if (std::optional<json> item = change_of(entry, have)) items.push_back(std::move(*item));
     } catch (const std::exception& error) {  // what is named here is the file's
       throw net::BadInput(at + error.what());
     }
   }
-  if (options.whole) {
-    for (const auto& [id, entry] : have) {
-      if (named.contains(id) || entry.contains("owner")) continue;
-      std::fprintf(stderr, "- %s  %s\n", id.c_str(), entry["host_port"].get<std::string>().c_str());
-      items.push_back({{"id", id}, {"entry", nullptr}, {"if_match", entry["revision"]}});
-    }
-  }
+  if (options.whole) add_removals(have, named, items);
   if (items.empty()) {
     std::fprintf(stderr, "nothing to change\n");
     return kHeld;
   }
-  if (!confirmed(options)) {
-    std::fprintf(stderr, "nothing was written\n");
-    return kHeld;
-  }
-  return write(options, client, items);
+  return write_if_confirmed(options, client, items);
 }
 
 int take_out(const Options& options, bool drain) {
   Client client = options.where.client();
-  std::map<std::string, json> have;
-  const json backup = client.get({"GET", "/registry/backup", {}, ""});
-  for (const json& entry : backup.at("entries")) have[entry.at("id")] = entry;
+  std::map<std::string, json> have = entries_of(client);
   json items = json::array();
   for (const std::string& id : options.ids) {
     if (!have.contains(id)) throw NotListed(id);
@@ -174,11 +206,7 @@
     std::fprintf(stderr, "%s %s  %s\n", drain ? "drain" : "-", id.c_str(),
                  entry["host_port"].get<std::string>().c_str());
   }
-  if (!confirmed(options)) {
-    std::fprintf(stderr, "nothing was written\n");
-    return kHeld;
-  }
-  return write(options, client, items);
+  return write_if_confirmed(options, client, items);
 }
 
 }  // namespace
