--- a/controller/backup.cpp
+++ b/controller/backup.cpp
@@ -149,10 +149,10 @@
 
 BackupTask::~BackupTask() { disk_.join(); }
 
-void BackupTask::begun(const std::string& record) {
+void BackupTask::begun(const std::string& checkpoint) {
   last_ = {};
   at_ms_ = 0;
-  const json before = json::parse(record, nullptr, false);
+  const json before = json::parse(checkpoint, nullptr, false);
   if (before.is_object()) {
     at_ms_ = before.value("at_ms", int64_t{0});
     last_.revision = before.value("revision", uint64_t{0});
@@ -260,13 +260,13 @@
               at_ms_ = net::wall_now() / 1000;
               acted();
               net::log::info("backup_made", "task", name(), "file", made.file(), "entries", made.entries);
-              keep({{"at_ms", at_ms_},
-                    {"revision", made.revision},
-                    {"hash", net::hex(made.hash)},
-                    {"entries", made.entries},
-                    {"bytes", made.bytes},
-                    {"file", made.file()}},
-                   [this] { remove_old(); });
+              save_checkpoint({{"at_ms", at_ms_},
+                               {"revision", made.revision},
+                               {"hash", net::hex(made.hash)},
+                               {"entries", made.entries},
+                               {"bytes", made.bytes},
+                               {"file", made.file()}},
+                              [this] { remove_old(); });
             });
       });
 }
--- a/controller/backup.h
+++ b/controller/backup.h
@@ -30,7 +30,7 @@
   ~BackupTask() override;
 
  private:
-  void begun(const std::string& record) override;
+  void begun(const std::string& checkpoint) override;
   void ended() override;
   void add_status(nlohmann::json& to) const override;
 
--- a/controller/call.cpp
+++ b/controller/call.cpp
@@ -13,11 +13,11 @@
 CallTask::CallTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task)
     : Task(io, config, task), timer_(io), backoff_(1, config.lease.seed) {}
 
-void CallTask::begun(const std::string& record) {
+void CallTask::begun(const std::string& checkpoint) {
   acts_ = false;
   number_ = 0;
   at_ms_ = 0;
-  const json before = json::parse(record, nullptr, false);
+  const json before = json::parse(checkpoint, nullptr, false);
   if (before.is_object()) {
     number_ = before.value("number", uint64_t{0});
     at_ms_ = before.value("at_ms", int64_t{0});
@@ -90,7 +90,7 @@
 void CallTask::all_in() {
   if (gave_up()) return;  // refused by a fence: not done, also where another address has taken it
   ++number_;
-  keep({{"number", number_}, {"at_ms", at_ms_}}, [this] {
+  save_checkpoint({{"number", number_}, {"at_ms", at_ms_}}, [this] {
     if (may_act()) wait_for_turn();
   });
 }
--- a/controller/call.h
+++ b/controller/call.h
@@ -18,7 +18,7 @@
   CallTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task);
 
  private:
-  void begun(const std::string& record) override;
+  void begun(const std::string& checkpoint) override;
   void ended() override;
   void add_status(nlohmann::json& to) const override;
 
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -56,12 +56,12 @@
   };
   each("held", "gauge", [](const Task& task) { return task.held() ? 1 : 0; });
   each("token", "gauge", [](const Task& task) { return task.token(); });
-  each("grants_total", "counter", [](const Task& task) { return task.figures().grants; });
-  each("acts_total", "counter", [](const Task& task) { return task.figures().acts; });
-  each("failures_total", "counter", [](const Task& task) { return task.figures().failures; });
-  each("fenced_total", "counter", [](const Task& task) { return task.figures().fenced; });
+  each("grants_total", "counter", [](const Task& task) { return task.metrics().grants; });
+  each("acts_total", "counter", [](const Task& task) { return task.metrics().acts; });
+  each("failures_total", "counter", [](const Task& task) { return task.metrics().failures; });
+  each("fenced_total", "counter", [](const Task& task) { return task.metrics().fenced; });
   each("acted_seconds", "gauge", [](const Task& task) {  // ago; -1: never in this process
-    const net::Time at = task.figures().acted;
+    const net::Time at = task.metrics().acted;
     return at == 0 ? -1.0 : static_cast<double>(net::steady_now() - at) / 1e6;
   });
   return out;
--- a/controller/mirror.h
+++ b/controller/mirror.h
@@ -39,7 +39,7 @@
       const;  // since the list was last known to the registry to be current; -1: not in this grant
 
  private:
-  void begun(const std::string& record) override;
+  void begun(const std::string& checkpoint) override;
   void ended() override;
   void add_status(nlohmann::json& to) const override;
 
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-lease::LeaseClientSettings shell_settings(const Config& config, const TaskConfig& task) {
+lease::LeaseClientSettings lease_client_settings(const Config& config, const TaskConfig& task) {
   lease::LeaseClientSettings out;
   out.holder = config.lease;
   out.holder.name = task.name;
@@ -36,9 +36,9 @@
       config_(std::move(task)),
       holder_(config.holder),
       calls_(io, config.registry, config.lease.seed),
-      shell_(io, shell_settings(config, config_),
-             {[this](lease::Token token, const std::string& record) { begin(token, record); },
-              [this](const std::string& why) { stop(why); }, [this] { wind_down(); }}) {}
+      lease_client_(io, lease_client_settings(config, config_),
+                    {[this](lease::Token token, const std::string& checkpoint) { begin(token, checkpoint); },
+                     [this](const std::string& why) { stop(why); }, [this] { wind_down(); }}) {}
 
 Task::~Task() { *alive_ = false; }
 
@@ -50,15 +50,15 @@
 
 std::shared_ptr<Task::Out> Task::out() { return std::make_shared<Out>(*this); }
 
-void Task::begin(lease::Token token, const std::string& record) {
+void Task::begin(lease::Token token, const std::string& checkpoint) {
   if (closes_) return;
   grant_ = ++grants_;
   token_ = token;
   winds_down_ = false;
   gave_up_ = false;
-  ++figures_.grants;
-  log::info("lease_held", "task", config_.name, "token", token, "record_bytes", record.size());
-  begun(record);
+  ++metrics_.grants;
+  log::info("lease_held", "task", config_.name, "token", token, "record_bytes", checkpoint.size());
+  begun(checkpoint);
 }
 
 void Task::end_grant() {
@@ -81,12 +81,12 @@
   }
   if (outs_ > 0) return;
   if (closes_) {
-    shell_.close([this] {
+    lease_client_.close([this] {
       end_grant();
       if (const auto closed = std::exchange(closed_, nullptr)) closed();
     });
   } else {
-    shell_.release();
+    lease_client_.release();
   }
 }
 
@@ -115,13 +115,13 @@
 
 void Task::act(const net::tcp::endpoint& to, net::HttpCall call, Done done) {
   add_fields(call);
-  call.timeout = std::min(call.timeout, std::max(shell_.left(), milliseconds(1)));
+  call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
   net::http_call(io_, to, std::move(call), of_this_grant(std::move(done)));
 }
 
 void Task::act_at_registry(net::HttpCall call, Done done) {
   add_fields(call);
-  call.timeout = std::min(call.timeout, std::max(shell_.left(), milliseconds(1)));
+  call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
   calls_.call(std::move(call), of_this_grant(std::move(done)));
 }
 
@@ -141,23 +141,23 @@
   calls_.call(std::move(call), while_it_stands(std::move(done)));
 }
 
-void Task::keep(const json& record, std::function<void()> done) {
-  if (shell_.token() != token_ || !shell_.is_held()) return;
-  shell_.save_checkpoint(
-      record.dump(), [this, out = out(), done = std::move(done)](lease::LeaseClient::CheckpointResult how) {
-        if (!out->stands()) return;
-        switch (how) {
-          case lease::LeaseClient::CheckpointResult::kDone:
-            return done();
-          case lease::LeaseClient::CheckpointResult::kFenced:
-            ++figures_.fenced;
-            failed(Fenced("the registry"));
-            return give_up();
-          case lease::LeaseClient::CheckpointResult::kFailed:
-            failed(NoAnswer("the registry, told what is done,"));
-            return done();  // the next one says it too; a successor repeats what was not kept
-        }
-      });
+void Task::save_checkpoint(const json& checkpoint, std::function<void()> done) {
+  if (lease_client_.token() != token_ || !lease_client_.is_held()) return;
+  lease_client_.save_checkpoint(checkpoint.dump(), [this, out = out(), done = std::move(done)](
+                                                       lease::LeaseClient::CheckpointResult how) {
+    if (!out->stands()) return;
+    switch (how) {
+      case lease::LeaseClient::CheckpointResult::kDone:
+        return done();
+      case lease::LeaseClient::CheckpointResult::kFenced:
+        ++metrics_.fenced;
+        failed(Fenced("the registry"));
+        return give_up();
+      case lease::LeaseClient::CheckpointResult::kFailed:
+        failed(NoAnswer("the registry, told what is done,"));
+        return done();  // the next one says it too; a successor repeats what was not kept
+    }
+  });
 }
 
 bool Task::went_well(const std::string& who, const std::optional<net::HttpReply>& reply) {
@@ -172,7 +172,7 @@
                                                                            : "";
   };
   if (reply->status == 409 && text("code") == "lease_fenced") {
-    ++figures_.fenced;
+    ++metrics_.fenced;
     failed(Fenced(who));
     give_up();
     return false;
@@ -182,7 +182,7 @@
 }
 
 void Task::failed(const net::Error& error) {
-  ++figures_.failures;
+  ++metrics_.failures;
   const json shown = {{"code", error.code()}, {"error", error.what()}, {"action", error.action()}};
   log::warn("task_failed", "task", config_.name, "code", error.code(), "why", error.what(), "action",
             error.action());
@@ -191,8 +191,8 @@
 }
 
 void Task::acted() {
-  ++figures_.acts;
-  figures_.acted = net::steady_now();
+  ++metrics_.acts;
+  metrics_.acted = net::steady_now();
 }
 
 json Task::status() const {
@@ -200,14 +200,14 @@
               {"kind", name_of(config_.kind)},
               {"held", held()},
               {"token", token()},
-              {"left_ms", shell_.left().count()},
-              {"place", shell_.place()},
-              {"lease_trouble", shell_.last_error()},
+              {"left_ms", lease_client_.left().count()},
+              {"place", lease_client_.place()},
+              {"lease_trouble", lease_client_.last_error()},
               {"wanted_back", winds_down_},
               {"out", outs_},
-              {"acts", figures_.acts},
-              {"failures", figures_.failures},
-              {"fenced", figures_.fenced},
+              {"acts", metrics_.acts},
+              {"failures", metrics_.failures},
+              {"fenced", metrics_.fenced},
               {"last_error", last_error_}};
   add_status(out);
   return out;
--- a/controller/task.h
+++ b/controller/task.h
@@ -22,33 +22,35 @@
  public:
   virtual ~Task();
 
-  void start() { shell_.start(); }
+  void start() { lease_client_.start(); }
   // Lets what is out finish, gives the lease back. `closed` is called once.
   void close(std::function<void()> closed);
 
   const std::string& name() const { return config_.name; }
   nlohmann::json status() const;
-  struct Figures {
+  struct Metrics {
     uint64_t grants = 0;
     uint64_t acts = 0;      // that were answered well
     uint64_t failures = 0;  // of any other end
     uint64_t fenced = 0;    // refused for their token
     net::Time acted = 0;    // when the last one was answered well, by the steady clock
   };
-  const Figures& figures() const { return figures_; }
+  const Metrics& metrics() const { return metrics_; }
   lease::Token token() const { return token_; }
-  bool held() const { return shell_.is_held(); }
+  bool held() const { return lease_client_.is_held(); }
 
  protected:
   Task(boost::asio::io_context& io, const Config& config, TaskConfig task);
 
   // A grant begins, with what the holders before have left; it ends: no act of it begins any more.
-  virtual void begun(const std::string& record) = 0;
+  virtual void begun(const std::string& checkpoint) = 0;
   virtual void ended() = 0;
   virtual void add_status(nlohmann::json& to) const = 0;
 
   // Right before each act; also no where the lease is wanted back.
-  bool may_act() const { return !winds_down_ && token_ != 0 && shell_.token() == token_ && shell_.is_held(); }
+  bool may_act() const {
+    return !winds_down_ && token_ != 0 && lease_client_.token() == token_ && lease_client_.is_held();
+  }
   // Whatever is out keeps one of these: the lease goes back only when none is left. Has the grant's number,
   // which nothing of an earlier grant has.
   class Out;
@@ -61,7 +63,8 @@
   void act_at_registry(net::HttpCall call, Done done);
   void ask(const net::tcp::endpoint& to, net::HttpCall call, Done done);  // reads only
   void ask_registry(net::HttpCall call, Done done);
-  void keep(const nlohmann::json& record, std::function<void()> done);  // `done`: it is kept
+  void save_checkpoint(const nlohmann::json& checkpoint,
+                       std::function<void()> done);  // `done`: it is kept
 
   // Whether it went well. What did not is logged and shown; a fence ends the grant.
   bool went_well(const std::string& who, const std::optional<net::HttpReply>& reply);
@@ -75,7 +78,7 @@
   const std::string holder_;
 
  private:
-  void begin(lease::Token token, const std::string& record);
+  void begin(lease::Token token, const std::string& checkpoint);
   void stop(const std::string& why);
   void wind_down();
   void add_fields(net::HttpCall& call) const;
@@ -84,7 +87,7 @@
   void end_grant();
 
   lease::RegistryCaller calls_;
-  lease::LeaseClient shell_;
+  lease::LeaseClient lease_client_;
   lease::Token token_ = 0;  // of the grant that was begun here; 0 where none stands
   uint64_t grant_ = 0;      // its number
   uint64_t grants_ = 0;
@@ -93,7 +96,7 @@
   bool gave_up_ = false;
   bool closes_ = false;
   std::function<void()> closed_;
-  Figures figures_;
+  Metrics metrics_;
   nlohmann::json last_error_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
