--- a/lab/lease_simulation.cpp
+++ b/lab/lease_simulation.cpp
@@ -184,7 +184,7 @@
     tick_ = static_cast<Time>(settings_.tick_share * static_cast<double>(least_));
     election_ = uniform(least_ / 10, least_ / 2);
     registry::LeaseLimits limits;
-    limits.most_ttl_ms = most_ / kMs;
+    limits.max_ttl_ms = most_ / kMs;
     limits_ = limits;
     table_ = registry::LeaseTable(limits);
     processes_.resize(leases * kEach);
@@ -320,14 +320,14 @@
         table_.tick(index_, log_now_);
         break;
       case Entry::Kind::kLead:
-        if (guards_.whole_ttl) table_.lead(log_now_);
+        if (guards_.whole_ttl) table_.leader_elected(log_now_);
         break;
       case Entry::Kind::kLose:  // all folders are lost: another list, whose revisions are above the old one's
         index_ += 1000;
         table_ = registry::LeaseTable(limits_);
         [[fallthrough]];
       case Entry::Kind::kBegin:
-        table_.begin(log_now_);
+        table_.start_grace_period(log_now_);
         note(Kind::kRestored, -1, -1, -1, 0, entry.kind == Entry::Kind::kLose ? 1 : 0);
         break;
     }
--- a/registry/lease_requests.cpp
+++ b/registry/lease_requests.cpp
@@ -33,12 +33,12 @@
     throw std::invalid_argument("holder must have 1 to 200 characters");
   }
   if (command.kind == LeaseCommand::Kind::kCampaign &&
-      (command.ttl_ms < limits.least_ttl_ms || command.ttl_ms > limits.most_ttl_ms)) {
-    throw std::invalid_argument("ttl_ms must be " + std::to_string(limits.least_ttl_ms) + " to " +
-                                std::to_string(limits.most_ttl_ms));
+      (command.ttl_ms < limits.min_ttl_ms || command.ttl_ms > limits.max_ttl_ms)) {
+    throw std::invalid_argument("ttl_ms must be " + std::to_string(limits.min_ttl_ms) + " to " +
+                                std::to_string(limits.max_ttl_ms));
   }
-  if (command.checkpoint.size() > limits.record) {
-    throw std::invalid_argument("record: over " + std::to_string(limits.record) + " bytes");
+  if (command.checkpoint.size() > limits.max_checkpoint_bytes) {
+    throw std::invalid_argument("record: over " + std::to_string(limits.max_checkpoint_bytes) + " bytes");
   }
 }
 
@@ -117,7 +117,7 @@
                     {"token", holder.token},
                     {"from_ms", holder.from_ms},
                     {"to_ms", holder.to_ms},
-                    {wire::kEndReason, holder.how}});
+                    {wire::kEndReason, holder.end_reason}});
   }
   const Millis remaining = lease.holder.empty() ? 0 : std::max<Millis>(lease.until_ms - now, 0);
   return {{"name", lease.name},
--- a/registry/lease_table.cpp
+++ b/registry/lease_table.cpp
@@ -1,8 +1,8 @@
 #include "registry/lease_table.h"
 
-#include <algorithm>
 #include <limits>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 namespace turntally::registry {
 namespace {
@@ -10,246 +10,297 @@
 using nlohmann::json;
 using Kind = LeaseResult::Kind;
 
-constexpr size_t kName = 200;
+constexpr size_t kMaxNameLength = 200;
 constexpr Millis kNever = std::numeric_limits<Millis>::max();
+constexpr const char* kNextWaiter = "*";  // as a hand-over's target
 
-bool named(const std::string& name) { return !name.empty() && name.size() <= kName; }
+// Reasons for the end of a grant, as snapshots and lease status have them.
+constexpr const char* kExpired = "expired";
+constexpr const char* kReleased = "released";
+constexpr const char* kHandedOver = "handed_over";
 
-auto waiter(Lease& lease, const std::string& holder) {
+bool is_valid_name(const std::string& name) { return !name.empty() && name.size() <= kMaxNameLength; }
+
+auto find_waiter(Lease& lease, const std::string& holder) {
   return std::find_if(lease.queue.begin(), lease.queue.end(),
-                      [&](const Lease::Waiter& w) { return w.holder == holder; });
+                      [&](const Lease::Waiter& waiter) { return waiter.holder == holder; });
+}
+
+LeaseResult granted(const Lease& lease) {
+  LeaseResult result;
+  result.token = lease.token;
+  result.holder = lease.holder;
+  result.release_requested = !lease.handover_target.empty();
+  result.checkpoint = lease.checkpoint;
+  return result;
+}
+
+LeaseResult refused(Millis retry_after_ms) {
+  LeaseResult result;
+  result.kind = Kind::kRefused;
+  result.retry_after_ms = retry_after_ms;
+  return result;
 }
 
 }  // namespace
 
-void LeaseTable::grant(Lease& lease, Token at, Millis now, const std::string& holder, Millis ttl_ms) {
-  const std::string who = holder;  // it may be the waiter's own
-  if (const auto it = waiter(lease, who); it != lease.queue.end()) lease.queue.erase(it);
-  lease.holder = who;
-  lease.token = at;
+void LeaseTable::grant(Lease& lease, Now now, std::string holder, Millis ttl_ms) {
+  if (const auto waiter = find_waiter(lease, holder); waiter != lease.queue.end()) lease.queue.erase(waiter);
+  lease.holder = std::move(holder);
+  lease.token = now.revision;
   lease.ttl_ms = ttl_ms;
-  lease.from_ms = now;
-  lease.until_ms = now + ttl_ms;
+  lease.from_ms = now.time;
+  lease.until_ms = now.time + ttl_ms;
   lease.handover_target.clear();
-  next_ms_ = std::min(next_ms_, lease.until_ms);
+  next_deadline_ms_ = std::min(next_deadline_ms_, lease.until_ms);
   ++counts_.granted;
 }
 
-void LeaseTable::end(Lease& lease, Token at, Millis now, const char* how) {
-  lease.past_holders.push_back({lease.holder, lease.token, lease.from_ms, now, how});
-  while (lease.past_holders.size() > limits_.past) lease.past_holders.pop_front();
+void LeaseTable::end_grant(Lease& lease, Now now, const char* reason) {
+  lease.past_holders.push_back({lease.holder, lease.token, lease.from_ms, now.time, reason});
+  while (lease.past_holders.size() > limits_.max_past_holders) lease.past_holders.pop_front();
   lease.holder.clear();
-  const std::string wanted = std::exchange(lease.handover_target, "");
-  next(lease, at, now, wanted);
+  const std::string target = std::exchange(lease.handover_target, "");
+  grant_next(lease, now, target);
 }
 
-void LeaseTable::next(Lease& lease, Token at, Millis now, const std::string& wanted) {
-  if (!lease.holder.empty() || lease.queue.empty() || now < grants_from_ms_) return;
-  auto it = waiter(lease, wanted);
-  if (it == lease.queue.end()) it = lease.queue.begin();
-  grant(lease, at, now, it->holder, it->ttl_ms);
+void LeaseTable::grant_next(Lease& lease, Now now, const std::string& preferred) {
+  if (!lease.holder.empty() || lease.queue.empty() || now.time < grace_period_end_ms_) return;
+  auto waiter = find_waiter(lease, preferred);
+  if (waiter == lease.queue.end()) waiter = lease.queue.begin();
+  grant(lease, now, waiter->holder, waiter->ttl_ms);
 }
 
-void LeaseTable::tick(Token at, Millis now) {
-  if (now >= grants_from_ms_) grants_from_ms_ = 0;
-  if (now < next_ms_) return;
-  next_ms_ = kNever;
+void LeaseTable::tick(Token revision, Millis now) {
+  if (now >= grace_period_end_ms_) grace_period_end_ms_ = 0;
+  if (now < next_deadline_ms_) return;
+  next_deadline_ms_ = kNever;
   for (auto& [name, lease] : leases_) {
-    // The line first: who is gone gets nothing.
-    std::erase_if(lease.queue, [&](const Lease::Waiter& w) { return w.until_ms <= now; });
-    if (lease.queue.empty()) lease.handover_target.clear();
-    if (!lease.holder.empty() && lease.until_ms <= now) {
-      ++counts_.expired;
-      end(lease, at, now, "expired");
-    }
-    next(lease, at, now, "");
-    if (!lease.holder.empty()) next_ms_ = std::min(next_ms_, lease.until_ms);
-    if (lease.holder.empty() && !lease.queue.empty()) next_ms_ = std::min(next_ms_, grants_from_ms_);
-    for (const Lease::Waiter& w : lease.queue) next_ms_ = std::min(next_ms_, w.until_ms);
+    tick_lease(lease, {revision, now});
+    update_next_deadline(lease);
   }
 }
 
-void LeaseTable::lead(Millis now) {
+// The queue first: a waiter that is gone gets nothing.
+void LeaseTable::tick_lease(Lease& lease, Now now) {
+  std::erase_if(lease.queue, [&](const Lease::Waiter& waiter) { return waiter.until_ms <= now.time; });
+  if (lease.queue.empty()) lease.handover_target.clear();
+  if (!lease.holder.empty() && lease.until_ms <= now.time) {
+    ++counts_.expired;
+    end_grant(lease, now, kExpired);
+  }
+  grant_next(lease, now, "");
+}
+
+void LeaseTable::update_next_deadline(const Lease& lease) {
+  if (!lease.holder.empty()) next_deadline_ms_ = std::min(next_deadline_ms_, lease.until_ms);
+  if (lease.holder.empty() && !lease.queue.empty()) {
+    next_deadline_ms_ = std::min(next_deadline_ms_, grace_period_end_ms_);
+  }
+  for (const Lease::Waiter& waiter : lease.queue) {
+    next_deadline_ms_ = std::min(next_deadline_ms_, waiter.until_ms);
+  }
+}
+
+void LeaseTable::leader_elected(Millis now) {
   // Never less than was promised, also where a holder's TTL has changed since.
-  const auto whole = [now](Millis& until, Millis ttl) { until = std::max(until, now + ttl); };
+  const auto extend = [now](Millis& until, Millis ttl) { until = std::max(until, now + ttl); };
   for (auto& [name, lease] : leases_) {
-    if (!lease.holder.empty()) whole(lease.until_ms, lease.ttl_ms);
-    for (Lease::Waiter& w : lease.queue) whole(w.until_ms, w.ttl_ms);
+    if (!lease.holder.empty()) extend(lease.until_ms, lease.ttl_ms);
+    for (Lease::Waiter& waiter : lease.queue) extend(waiter.until_ms, waiter.ttl_ms);
   }
-  // A wait that was not over by the clock before is not over because this one is ahead.
-  if (grants_from_ms_ != 0) whole(grants_from_ms_, limits_.most_ttl_ms);
+  // A grace period that was not over by the clock before is not over because this one is ahead.
+  if (grace_period_end_ms_ != 0) extend(grace_period_end_ms_, limits_.max_ttl_ms);
 }
 
-void LeaseTable::begin(Millis now) {
-  grants_from_ms_ = std::max(grants_from_ms_, now + limits_.most_ttl_ms);
-  next_ms_ = 0;
+void LeaseTable::start_grace_period(Millis now) {
+  grace_period_end_ms_ = std::max(grace_period_end_ms_, now + limits_.max_ttl_ms);
+  next_deadline_ms_ = 0;
+}
+
+Lease* LeaseTable::find(const std::string& name) {
+  const auto it = leases_.find(name);
+  return it == leases_.end() ? nullptr : &it->second;
 }
 
-// A new lease; where there is no room, in place of the one that was free for longest and keeps nothing.
-Lease* LeaseTable::make(const std::string& name) {
-  if (leases_.size() >= limits_.leases) {
+// Where there is no room it replaces the lease that was free for longest and has no checkpoint.
+Lease* LeaseTable::create(const std::string& name) {
+  if (leases_.size() >= limits_.max_leases) {
     auto oldest = leases_.end();
     for (auto it = leases_.begin(); it != leases_.end(); ++it) {
-      const Lease& l = it->second;
-      if (!l.holder.empty() || !l.queue.empty() || !l.checkpoint.empty()) continue;
-      if (oldest == leases_.end() || l.token < oldest->second.token) oldest = it;
+      const Lease& lease = it->second;
+      if (!lease.holder.empty() || !lease.queue.empty() || !lease.checkpoint.empty()) continue;
+      if (oldest == leases_.end() || lease.token < oldest->second.token) oldest = it;
     }
     if (oldest == leases_.end()) return nullptr;
     leases_.erase(oldest);
   }
-  Lease& out = leases_[name];
-  out.name = name;
-  return &out;
-}
-
-LeaseResult LeaseTable::campaign(Token at, Millis now, const LeaseCommand& call) {
-  LeaseResult out{Kind::kRefused, 0, "", 0, false, "", 0};
-  if (!named(call.name) || !named(call.holder) || call.ttl_ms < limits_.least_ttl_ms ||
-      call.ttl_ms > limits_.most_ttl_ms)
-    return out;
-  const auto it = leases_.find(call.name);
-  Lease* lease = it == leases_.end() ? nullptr : &it->second;
-  const bool holds = lease != nullptr && lease->holder == call.holder;
-  if (!holds && now < grants_from_ms_) {
-    out.retry_after_ms = grants_from_ms_ - now;
-    return out;
+  Lease& lease = leases_[name];
+  lease.name = name;
+  return &lease;
+}
+
+bool LeaseTable::is_valid_campaign(const LeaseCommand& command) const {
+  return is_valid_name(command.name) && is_valid_name(command.holder) &&
+         command.ttl_ms >= limits_.min_ttl_ms && command.ttl_ms <= limits_.max_ttl_ms;
+}
+
+LeaseResult LeaseTable::campaign(Now now, const LeaseCommand& command) {
+  if (!is_valid_campaign(command)) return refused(0);
+  Lease* lease = find(command.name);
+  if (lease != nullptr && lease->holder == command.holder) return renew_by_campaign(*lease, now, command);
+  if (now.time < grace_period_end_ms_) return refused(grace_period_end_ms_ - now.time);
+  if (lease == nullptr) lease = create(command.name);
+  if (lease == nullptr) return refused(limits_.max_ttl_ms);
+  if (!lease->holder.empty()) return enqueue(*lease, now, command);
+  // Then the queue is empty too: tick() has just been here.
+  grant(*lease, now, command.holder, command.ttl_ms);
+  return granted(*lease);
+}
+
+// A call that was late on its way must not take from what has been promised since.
+LeaseResult LeaseTable::renew_by_campaign(Lease& lease, Now now, const LeaseCommand& command) {
+  lease.ttl_ms = std::max(lease.ttl_ms, command.ttl_ms);
+  lease.until_ms = std::max(lease.until_ms, now.time + lease.ttl_ms);
+  ++counts_.renewed;
+  return granted(lease);
+}
+
+LeaseResult LeaseTable::enqueue(Lease& lease, Now now, const LeaseCommand& command) {
+  LeaseResult result;
+  result.token = lease.token;
+  result.holder = lease.holder;
+  auto waiter = find_waiter(lease, command.holder);
+  if (waiter == lease.queue.end() && lease.queue.size() >= limits_.max_waiters) {
+    result.kind = Kind::kRefused;
+    result.retry_after_ms = std::max(lease.until_ms - now.time, limits_.min_ttl_ms);
+    return result;
+  }
+  if (waiter == lease.queue.end()) waiter = lease.queue.insert(waiter, {command.holder, 0, 0});
+  waiter->ttl_ms = command.ttl_ms;
+  waiter->until_ms = std::max(waiter->until_ms, now.time + command.ttl_ms);
+  next_deadline_ms_ = std::min(next_deadline_ms_, waiter->until_ms);
+  result.kind = Kind::kQueued;
+  result.place = static_cast<size_t>(waiter - lease.queue.begin()) + 1;
+  return result;
+}
+
+LeaseResult::Kind LeaseTable::release(Lease& lease, Now now, const LeaseCommand& command, bool is_holder) {
+  if (is_holder) {
+    end_grant(lease, now, lease.handover_target.empty() ? kReleased : kHandedOver);
+    return Kind::kGranted;
   }
-  if (lease == nullptr) lease = make(call.name);
+  const auto waiter = find_waiter(lease, command.holder);
+  if (waiter == lease.queue.end()) return Kind::kFenced;
+  lease.queue.erase(waiter);
+  if (lease.queue.empty()) lease.handover_target.clear();
+  return Kind::kGranted;
+}
+
+LeaseResult::Kind LeaseTable::request_handover(Lease& lease, const LeaseCommand& command) {
+  if (command.token != 0 && command.token != lease.token) return Kind::kFenced;  // it was for another grant
+  if (lease.queue.empty()) return Kind::kUnknown;
+  if (!command.to.empty() && find_waiter(lease, command.to) == lease.queue.end()) return Kind::kUnknown;
+  lease.handover_target = command.to.empty() ? kNextWaiter : command.to;
+  return Kind::kGranted;
+}
+
+LeaseResult::Kind LeaseTable::save_checkpoint(Lease& lease, const LeaseCommand& command, bool is_holder) {
+  if (!is_holder) return Kind::kFenced;
+  if (command.checkpoint.size() > limits_.max_checkpoint_bytes) return Kind::kRefused;
+  lease.checkpoint = command.checkpoint;
+  return Kind::kGranted;
+}
+
+LeaseResult LeaseTable::apply(Token revision, Millis now_ms, const LeaseCommand& command) {
+  const Now now{revision, now_ms};
+  tick(revision, now_ms);  // an expired grant is not renewed
+  if (command.kind == LeaseCommand::Kind::kCampaign) return campaign(now, command);
+  LeaseResult result;
+  Lease* const lease = find(command.name);
   if (lease == nullptr) {
-    out.retry_after_ms = limits_.most_ttl_ms;
-    return out;
-  }
-  if (holds) {
-    // A call that was late on its way must not take from what has been promised since.
-    lease->ttl_ms = std::max(lease->ttl_ms, call.ttl_ms);
-    lease->until_ms = std::max(lease->until_ms, now + lease->ttl_ms);
-    ++counts_.renewed;
-  } else if (lease->holder.empty()) {  // then nobody is in line either: tick() has just been here
-    grant(*lease, at, now, call.holder, call.ttl_ms);
-  } else {
-    auto place = waiter(*lease, call.holder);
-    if (place == lease->queue.end() && lease->queue.size() >= limits_.waiting) {
-      out.token = lease->token;
-      out.holder = lease->holder;
-      out.retry_after_ms = std::max(lease->until_ms - now, limits_.least_ttl_ms);
-      return out;
-    }
-    if (place == lease->queue.end()) place = lease->queue.insert(place, {call.holder, 0, 0});
-    place->ttl_ms = call.ttl_ms;
-    place->until_ms = std::max(place->until_ms, now + call.ttl_ms);
-    next_ms_ = std::min(next_ms_, place->until_ms);
-    out.kind = Kind::kQueued;
-    out.place = static_cast<size_t>(place - lease->queue.begin()) + 1;
-    out.token = lease->token;
-    out.holder = lease->holder;
-    return out;
+    result.kind = Kind::kUnknown;
+    return result;
   }
-  out.kind = Kind::kGranted;
-  out.token = lease->token;
-  out.holder = lease->holder;
-  out.release_requested = !lease->handover_target.empty();
-  out.checkpoint = lease->checkpoint;
-  return out;
-}
-
-LeaseResult LeaseTable::apply(Token at, Millis now, const LeaseCommand& call) {
-  tick(at, now);  // nobody renews what has lapsed
-  if (call.kind == LeaseCommand::Kind::kCampaign) return campaign(at, now, call);
-  const auto it = leases_.find(call.name);
-  if (it == leases_.end()) return {Kind::kUnknown, 0, "", 0, false, "", 0};
-  Lease& lease = it->second;
-  LeaseResult out;
-  // A token that is only given out now is known to nobody: a guess ends no grant.
-  const bool holds =
-      !lease.holder.empty() && lease.holder == call.holder && lease.token == call.token && call.token < at;
-  switch (call.kind) {
+  // A token of this very revision is known to nobody yet: a guess ends no grant.
+  const bool is_holder = !lease->holder.empty() && lease->holder == command.holder &&
+                         lease->token == command.token && command.token < revision;
+  switch (command.kind) {
     case LeaseCommand::Kind::kCampaign:
       break;
     case LeaseCommand::Kind::kRenew:
-      if (!holds) {
-        out.kind = Kind::kFenced;
+      if (!is_holder) {
+        result.kind = Kind::kFenced;
         break;
       }
-      lease.until_ms = std::max(lease.until_ms, now + lease.ttl_ms);
+      lease->until_ms = std::max(lease->until_ms, now.time + lease->ttl_ms);
       ++counts_.renewed;
-      out.release_requested = !lease.handover_target.empty();
+      result.release_requested = !lease->handover_target.empty();
       break;
     case LeaseCommand::Kind::kRelease:
-      if (holds) {
-        end(lease, at, now, lease.handover_target.empty() ? "released" : "handed_over");
-      } else if (const auto place = waiter(lease, call.holder); place != lease.queue.end()) {
-        lease.queue.erase(place);
-        if (lease.queue.empty()) lease.handover_target.clear();
-      } else {
-        out.kind = Kind::kFenced;
-      }
+      result.kind = release(*lease, now, command, is_holder);
       break;
     case LeaseCommand::Kind::kHandOver:
-      if (call.token != 0 && call.token != lease.token) {  // it was meant for another grant
-        out.kind = Kind::kFenced;
-      } else if (lease.queue.empty() || (!call.to.empty() && waiter(lease, call.to) == lease.queue.end())) {
-        out.kind = Kind::kUnknown;
-      } else {
-        lease.handover_target = call.to.empty() ? "*" : call.to;
-      }
+      result.kind = request_handover(*lease, command);
       break;
     case LeaseCommand::Kind::kCheckpoint:
-      if (!holds) {
-        out.kind = Kind::kFenced;
-      } else if (call.checkpoint.size() > limits_.record) {
-        out.kind = Kind::kRefused;
-      } else {
-        lease.checkpoint = call.checkpoint;
-      }
+      result.kind = save_checkpoint(*lease, command, is_holder);
       break;
   }
-  if (out.kind == Kind::kFenced) ++counts_.fenced;
-  out.token = lease.holder.empty() ? 0 : lease.token;
-  out.holder = lease.holder;
-  return out;
+  if (result.kind == Kind::kFenced) ++counts_.fenced;
+  result.token = lease->holder.empty() ? 0 : lease->token;
+  result.holder = lease->holder;
+  return result;
 }
 
-Token LeaseTable::standing(const std::string& name) const {
+Token LeaseTable::current_token(const std::string& name) const {
   const auto it = leases_.find(name);
   return it == leases_.end() || it->second.holder.empty() ? 0 : it->second.token;
 }
 
 bool LeaseTable::holds(const std::string& name, Token token) const {
-  return token != 0 && standing(name) == token;
+  return token != 0 && current_token(name) == token;
 }
 
 json LeaseTable::pack() const {
-  json all = json::array();
-  for (const auto& [name, l] : leases_) {
-    json line = json::array();
-    for (const Lease::Waiter& w : l.queue) line.push_back({w.holder, w.ttl_ms, w.until_ms});
+  json leases = json::array();
+  for (const auto& [name, lease] : leases_) {
+    json queue = json::array();
+    for (const Lease::Waiter& waiter : lease.queue) {
+      queue.push_back({waiter.holder, waiter.ttl_ms, waiter.until_ms});
+    }
     json past = json::array();
-    for (const Lease::PastHolder& p : l.past_holders)
-      past.push_back({p.holder, p.token, p.from_ms, p.to_ms, p.how});
-    all.push_back(json::array({l.name, l.holder, l.token, l.ttl_ms, l.from_ms, l.until_ms, l.handover_target,
-                               line, past, l.checkpoint}));
+    for (const Lease::PastHolder& holder : lease.past_holders) {
+      past.push_back({holder.holder, holder.token, holder.from_ms, holder.to_ms, holder.end_reason});
+    }
+    leases.push_back(json::array({lease.name, lease.holder, lease.token, lease.ttl_ms, lease.from_ms,
+                                  lease.until_ms, lease.handover_target, queue, past, lease.checkpoint}));
   }
-  return json::array({grants_from_ms_, all});
+  return json::array({grace_period_end_ms_, leases});
 }
 
 LeaseTable LeaseTable::unpack(const json& packed, LeaseLimits limits) {
-  LeaseTable out(limits);
-  out.grants_from_ms_ = packed.at(0);
-  for (const json& j : packed.at(1)) {
-    Lease l;
-    l.name = j.at(0);
-    l.holder = j.at(1);
-    l.token = j.at(2);
-    l.ttl_ms = j.at(3);
-    l.from_ms = j.at(4);
-    l.until_ms = j.at(5);
-    l.handover_target = j.at(6);
-    for (const json& w : j.at(7)) l.queue.push_back({w.at(0), w.at(1), w.at(2)});
-    for (const json& p : j.at(8)) l.past_holders.push_back({p.at(0), p.at(1), p.at(2), p.at(3), p.at(4)});
-    l.checkpoint = j.at(9);
-    out.leases_[l.name] = std::move(l);
+  LeaseTable table(limits);
+  table.grace_period_end_ms_ = packed.at(0);
+  for (const json& fields : packed.at(1)) {
+    Lease lease;
+    lease.name = fields.at(0);
+    lease.holder = fields.at(1);
+    lease.token = fields.at(2);
+    lease.ttl_ms = fields.at(3);
+    lease.from_ms = fields.at(4);
+    lease.until_ms = fields.at(5);
+    lease.handover_target = fields.at(6);
+    for (const json& waiter : fields.at(7)) {
+      lease.queue.push_back({waiter.at(0), waiter.at(1), waiter.at(2)});
+    }
+    for (const json& past : fields.at(8)) {
+      lease.past_holders.push_back({past.at(0), past.at(1), past.at(2), past.at(3), past.at(4)});
+    }
+    lease.checkpoint = fields.at(9);
+    table.leases_[lease.name] = std::move(lease);
   }
-  return out;
+  return table;
 }
 
 }  // namespace turntally::registry
--- a/registry/list_commands.cpp
+++ b/registry/list_commands.cpp
@@ -135,7 +135,7 @@
 ApplyResult apply_bootstrap(StateData& data, uint64_t index, const Command& command) {
   if (data.identity.empty()) {
     replace_list(data, index, command);
-    data.leases.begin(data.now);  // holders of a table before may still act
+    data.leases.start_grace_period(data.now);  // holders of a table before may still act
   }
   return applied(data);
 }
@@ -159,7 +159,7 @@
   if (data.identity.empty()) {
     LeaseResult refused;
     refused.kind = LeaseResult::Kind::kRefused;
-    refused.retry_after_ms = data.leases.limits().most_ttl_ms;
+    refused.retry_after_ms = data.leases.limits().max_ttl_ms;
     result.lease = refused;
   } else {
     result.lease = data.leases.apply(revision, data.now, command.lease);
@@ -168,8 +168,8 @@
 }
 
 ApplyResult apply_leader_elected(StateData& data, const Command& command) {
-  if (command.number > 0) data.leases.set_most_ttl(static_cast<Millis>(command.number));
-  data.leases.lead(data.now);
+  if (command.number > 0) data.leases.set_max_ttl(static_cast<Millis>(command.number));
+  data.leases.leader_elected(data.now);
   return applied(data);
 }
 
--- a/registry/snapshot.cpp
+++ b/registry/snapshot.cpp
@@ -23,8 +23,8 @@
 }
 
 json encode_lease_limits(const LeaseLimits& limits) {
-  return json::array(
-      {limits.least_ttl_ms, limits.most_ttl_ms, limits.waiting, limits.past, limits.leases, limits.record});
+  return json::array({limits.min_ttl_ms, limits.max_ttl_ms, limits.max_waiters, limits.max_past_holders,
+                      limits.max_leases, limits.max_checkpoint_bytes});
 }
 
 LeaseLimits decode_lease_limits(const json& fields) {
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -32,7 +32,7 @@
     data_.leases.tick(revision, data_.now);  // an expired grant fences too
     if (!data_.leases.holds(command.fence, command.fence_token)) {
       // Not remembered: the same request may come again under another grant.
-      return {ApplyResult::Kind::kFenced, data_.leases.standing(command.fence), command.fence};
+      return {ApplyResult::Kind::kFenced, data_.leases.current_token(command.fence), command.fence};
     }
   }
   const ApplyResult result = dispatch(index, revision, command);
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -37,7 +37,7 @@
   l.tick(7, 1200);  // b's place has lapsed as well
   EXPECT_FALSE(l.holds("l", 1));
   EXPECT_EQ(l.apply(8, 1200, campaign("c")).token, 7U);
-  EXPECT_EQ(l.all().at("l").past_holders.back().how, "expired");
+  EXPECT_EQ(l.all().at("l").past_holders.back().end_reason, "expired");
   EXPECT_EQ(l.apply(9, 1201, with(Call::kRenew, "a", 1)).kind, Kind::kFenced);
   EXPECT_EQ(l.apply(10, 1202, with(Call::kRelease, "c", 7)).token, 0U);
   EXPECT_TRUE(l.all().at("l").holder.empty());
@@ -91,7 +91,7 @@
   EXPECT_TRUE(l.apply(9, 0, with(Call::kRenew, "a", 1)).release_requested);
   const LeaseResult released = l.apply(10, 0, with(Call::kRelease, "a", 1));
   EXPECT_EQ(released.holder, "c");
-  EXPECT_EQ(l.all().at("l").past_holders.back().how, "handed_over");
+  EXPECT_EQ(l.all().at("l").past_holders.back().end_reason, "handed_over");
   EXPECT_FALSE(l.apply(11, 0, campaign("c")).release_requested);
   // The one that is named goes: the next in line is as good.
   l.apply(12, 0, campaign("d"));
@@ -104,7 +104,7 @@
   LeaseTable l;
   l.apply(1, 0, campaign("a"));
   l.apply(2, 900, campaign("b"));
-  l.lead(950);
+  l.leader_elected(950);
   l.tick(3, 1949);
   EXPECT_TRUE(l.holds("l", 1));
   l.tick(4, 1950);
@@ -115,7 +115,7 @@
   LeaseTable l;
   l.apply(1, 0, {Call::kCampaign, "stands", "a", 20'000, 0, "", ""});
   l.apply(2, 0, {Call::kCampaign, "stands", "b", 30'000, 0, "", ""});
-  l.begin(100);
+  l.start_grace_period(100);
   const LeaseResult refused = l.apply(3, 1100, campaign("a"));
   EXPECT_EQ(refused.kind, Kind::kRefused);
   EXPECT_EQ(refused.retry_after_ms, 29'000);
@@ -130,22 +130,22 @@
 // Its clock may be ahead of the one by which the wait began.
 TEST(Leases, WaitsForAWholeLongestTtlUnderANewLeader) {
   LeaseTable l;
-  l.begin(100);
+  l.start_grace_period(100);
   l.tick(1, 200);
-  l.lead(40'000);
+  l.leader_elected(40'000);
   l.tick(2, 69'999);
   EXPECT_EQ(l.apply(3, 69'999, campaign("a")).kind, Kind::kRefused);
   EXPECT_EQ(l.apply(4, 70'000, campaign("a")).kind, Kind::kGranted);
-  l.lead(80'000);  // over is over
+  l.leader_elected(80'000);  // over is over
   EXPECT_EQ(l.apply(5, 80'000, {Call::kCampaign, "other", "a", 1000, 0, "", ""}).kind, Kind::kGranted);
 }
 
 TEST(Leases, KeepsItsBounds) {
   LeaseLimits limits;
-  limits.waiting = 1;
-  limits.leases = 2;
-  limits.record = 3;
-  limits.past = 2;
+  limits.max_waiters = 1;
+  limits.max_leases = 2;
+  limits.max_checkpoint_bytes = 3;
+  limits.max_past_holders = 2;
   LeaseTable l(limits);
   EXPECT_EQ(l.apply(1, 0, campaign("a", 199)).kind, Kind::kRefused);
   EXPECT_EQ(l.apply(2, 0, campaign("a", 30'001)).kind, Kind::kRefused);
@@ -187,7 +187,7 @@
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     net::Random random(seed);
     LeaseLimits limits;
-    limits.waiting = 3;
+    limits.max_waiters = 3;
     LeaseTable l(limits);
     LeaseTable copy(limits);
     std::map<std::string, std::pair<Token, Millis>> told;  // by holder: until when
@@ -205,8 +205,8 @@
       if (call.kind == Call::kHandOver && random.chance(0.5)) call.to = "h" + std::to_string(random.below(5));
       const size_t other = random.below(20);
       if (other == 0) {
-        l.lead(now);
-        copy.lead(now);
+        l.leader_elected(now);
+        copy.leader_elected(now);
       } else if (other < 4) {
         l.tick(at, now);
         copy.tick(at, now);
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -193,7 +193,7 @@
   State s;
   s.apply(1, found(0));
   s.apply(2, {Command::Kind::kLeaderElected, 0, "", {}, "", 6000});
-  EXPECT_EQ(s.leases().limits().most_ttl_ms, 6000);
+  EXPECT_EQ(s.leases().limits().max_ttl_ms, 6000);
   const Token token = s.apply(3, lease(kCampaign, "a", 30'000)).lease->token;
   s.apply(4, {Command::Kind::kRestore, 31'000, "", {}, "list-2", 5000});
   EXPECT_TRUE(s.leases().holds("l", token));
@@ -358,8 +358,8 @@
       const size_t kind = random.below(10);
       if (kind >= 5)
         command = lease(static_cast<LeaseCommand::Kind>(random.below(5)),
-                        "h" + std::to_string(random.below(4)), now, a.leases().standing("l"));
-      if (kind == 5) command = under(write({{id, entry(id), {}}}, "", now), a.leases().standing("l"));
+                        "h" + std::to_string(random.below(4)), now, a.leases().current_token("l"));
+      if (kind == 5) command = under(write({{id, entry(id), {}}}, "", now), a.leases().current_token("l"));
       if (kind == 8)
         command = mirror({{id, random.chance(0.7) ? std::optional(entry(id)) : std::nullopt, {}}},
                          random.chance(0.2), now);
