--- a/controller/task.h
+++ b/controller/task.h
@@ -11,7 +11,7 @@
 
 #include "controller/config.h"
 #include "controller/errors.h"
-#include "lease/lease_calls.h"
+#include "lease/registry_caller.h"
 #include "lease/lease_client.h"
 #include "net/clock.h"
 #include "net/http.h"
--- a/lease/lease_client.h
+++ b/lease/lease_client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lease/lease_calls.h"
+#include "lease/registry_caller.h"
 #include "lease/lease_state.h"
 
 namespace turntally::lease {
--- a/lease/lease_calls.cpp
+++ b/lease/registry_caller.cpp
@@ -1,4 +1,4 @@
-#include "lease/lease_calls.h"
+#include "lease/registry_caller.h"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
