--- a/registry/list_follower.cpp
+++ b/registry/list_follower.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds kSilence{3000};  // a line is due every 2 s
 // What a silent watch misses counts as told 6 s after it fell silent, which may be 3 s before that was
 // noticed.
-constexpr std::chrono::milliseconds kAfterSilence{1000};
+constexpr std::chrono::milliseconds kPauseAfterSilence{1000};
 constexpr auto kTick = std::chrono::milliseconds(500);
 
 using std::chrono::milliseconds;
@@ -32,7 +32,7 @@
       backoff_(settings_.callers, settings_.seed),
       pause_(io),
       tick_(io),
-      at_(net::Random(settings_.seed, 5).below(settings_.members.size())) {
+      member_index_(net::Random(settings_.seed, 5).below(settings_.members.size())) {
   if (!saved.is_null()) listener_.told(guard_.restore(saved));
   connect_in(backoff_.next());
   tick();
@@ -64,8 +64,8 @@
   std::string target = "/api/targets?stream=1";
   if (guard_.revision() >= 0)
     target += "&index=" + std::to_string(guard_.revision()) + "&identity=" + guard_.identity();
-  called_ = std::chrono::steady_clock::now();
-  answered_ = false;
+  connected_at_ = std::chrono::steady_clock::now();
+  confirmed_ = false;
   stream_->start(target);
 }
 
@@ -73,21 +73,22 @@
   if (stream != stream_.get()) return;
   stream_->close();
   stream_.reset();
-  at_ = (at_ + 1) % settings_.members.size();
+  member_index_ = (member_index_ + 1) % settings_.members.size();
   ++moves_;
-  if (answered_) {
-    return connect_in(backoff_.next(how == net::Lines::End::kSilent ? kAfterSilence : milliseconds::max()));
+  if (confirmed_) {
+    return connect_in(
+        backoff_.next(how == net::Lines::End::kSilent ? kPauseAfterSilence : milliseconds::max()));
   }
-  const auto since = std::chrono::steady_clock::now() - called_;
+  const auto since = std::chrono::steady_clock::now() - connected_at_;
   connect_in(backoff_.again(std::chrono::duration_cast<milliseconds>(since)));
 }
 
-Millis ListFollower::heard_ms() const { return heard_ < 0 ? -1 : now_ms() - heard_; }
+Millis ListFollower::heard_ms() const { return confirmed_at_ms_ < 0 ? -1 : now_ms() - confirmed_at_ms_; }
 
 void ListFollower::current() {
   backoff_.reset();
-  answered_ = true;
-  heard_ = now_ms();
+  confirmed_ = true;
+  confirmed_at_ms_ = now_ms();
   listener_.current();
 }
 
@@ -95,15 +96,15 @@
   if (text.find_first_not_of(" \r\t") == std::string::npos) {
     if (guard_.holds()) return true;
     // Nothing has changed: of what? Where no list is known that is no answer.
-    if (guard_.revision() < 0) return std::chrono::steady_clock::now() - called_ < kSilence;
+    if (guard_.revision() < 0) return std::chrono::steady_clock::now() - connected_at_ < kSilence;
     current();
     return true;
   }
-  Millis late = 0;
+  Millis contact_age = 0;
   try {
-    const nlohmann::json told = nlohmann::json::parse(text);
-    late = told.value("heard_ms", Millis{0});
-    heed(guard_.told(told, net::text_of(at()), now_ms()));
+    const nlohmann::json parsed = nlohmann::json::parse(text);
+    contact_age = parsed.value("heard_ms", Millis{0});
+    heed(guard_.told(parsed, net::text_of(at()), now_ms()));
   } catch (const std::exception& error) {
     const auto* known = dynamic_cast<const ListUnreadable*>(&error);
     net::log::failed(net::log::Level::kWarn, "list_unreadable", known ? *known : ListUnreadable(error.what()),
@@ -114,7 +115,7 @@
     net::log::warn("list_held", "member", net::text_of(at()), "known", guard_.known().size());
     return settings_.members.size() < 2 || guard_.holder() != net::text_of(at());  // what does another say?
   }
-  if (late < 0 || late > settings_.late_ms) return settings_.members.size() < 2;
+  if (contact_age < 0 || contact_age > settings_.late_ms) return settings_.members.size() < 2;
   current();
   return true;
 }
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -40,7 +40,7 @@
   const ListGuard& guard() const { return guard_; }
   uint64_t moves() const { return moves_; }  // to another member
   Millis heard_ms() const;  // since a member that is not late last said that this is its list; -1: not yet
-  const net::tcp::endpoint& at() const { return settings_.members[at_]; }
+  const net::tcp::endpoint& at() const { return settings_.members[member_index_]; }
 
  private:
   void connect();
@@ -59,10 +59,10 @@
   boost::asio::steady_timer pause_;
   boost::asio::steady_timer tick_;
   std::shared_ptr<net::Lines> stream_;
-  std::chrono::steady_clock::time_point called_;  // when that was begun,
-  bool answered_ = false;                         // and whether it said that its list is current
-  size_t at_ = 0;
-  Millis heard_ = -1;
+  std::chrono::steady_clock::time_point connected_at_;  // when that was begun,
+  bool confirmed_ = false;                              // and whether it said that its list is current
+  size_t member_index_ = 0;
+  Millis confirmed_at_ms_ = -1;
   uint64_t moves_ = 0;
 };
 
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -26,7 +26,7 @@
 }
 
 template <typename Read>
-void readable(Read read) {
+void parse_or_throw(Read read) {
   try {
     read();
   } catch (const json::exception& error) {
@@ -72,8 +72,8 @@
   return {line_of(revision_, false, identity_, std::move(out))};
 }
 
-std::vector<json> ListGuard::accept(Held list) {
-  held_.reset();
+std::vector<json> ListGuard::accept(UnconfirmedList list) {
+  unconfirmed_.reset();
   revision_ = list.revision;
   identity_ = list.identity;
   known_ = std::move(list.members);
@@ -87,7 +87,7 @@
   bool complete = false;
   std::string identity;
   Members named;
-  readable([&] {
+  parse_or_throw([&] {
     revision = line.at("revision");
     complete = line.at("complete");
     identity = line.value("identity", "");
@@ -100,13 +100,13 @@
 
   if (!complete) {
     // On from the list that is held, or from the one that is known.
-    if (held_ && held_->source == source) {
-      merge(held_->members, members);
-      held_->revision = std::max(held_->revision, revision);
+    if (unconfirmed_ && unconfirmed_->source == source) {
+      merge(unconfirmed_->members, members);
+      unconfirmed_->revision = std::max(unconfirmed_->revision, revision);
       return drains(named);
     }
     if (identity != identity_ || revision < revision_) return drains(named);
-    held_.reset();  // a member goes on from what is known
+    unconfirmed_.reset();  // a member goes on from what is known
     if (members.empty() && revision == revision_) return {};
     revision_ = revision;
     merge(known_, members);
@@ -115,24 +115,25 @@
 
   const bool same = identity == identity_;
   if (same && revision < revision_) return drains(named);  // of a member that is behind
-  Held list{source, now, revision, identity, named};
+  UnconfirmedList list{source, now, revision, identity, named};
   if (!suspicious(named, identity)) return accept(std::move(list));
   // Another member, with the same list or a later one of it.
-  if (held_ && held_->source != source && held_->identity == identity && revision >= held_->revision) {
+  if (unconfirmed_ && unconfirmed_->source != source && unconfirmed_->identity == identity &&
+      revision >= unconfirmed_->revision) {
     return accept(std::move(list));
   }
-  if (held_ && held_->identity == identity) {
-    list.since = held_->since;  // its time runs on, whoever tells it again
+  if (unconfirmed_ && unconfirmed_->identity == identity) {
+    list.since = unconfirmed_->since;  // its time runs on, whoever tells it again
   } else {
-    ++held_total_;
+    ++unconfirmed_total_;
   }
-  held_ = std::move(list);
+  unconfirmed_ = std::move(list);
   return drains(named);
 }
 
 std::vector<json> ListGuard::tick(Millis now) {
-  if (!held_ || now - held_->since < limits_.hold_ms) return {};
-  return accept(std::move(*held_));
+  if (!unconfirmed_ || now - unconfirmed_->since < limits_.hold_ms) return {};
+  return accept(std::move(*unconfirmed_));
 }
 
 json ListGuard::save() const {
@@ -142,8 +143,10 @@
 }
 
 json ListGuard::restore(const json& saved) {
-  Held list;
-  readable([&] { list = {"", 0, saved.at("revision"), saved.at("identity"), by_id(saved.at("members"))}; });
+  UnconfirmedList list;
+  parse_or_throw([&] {
+    list = {"", 0, saved.at("revision"), saved.at("identity"), by_id(saved.at("members"))};
+  });
   return accept(std::move(list)).front();
 }
 
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -35,9 +35,9 @@
   int64_t revision() const { return revision_; }
   const std::string& identity() const { return identity_; }
   const std::map<std::string, nlohmann::json>& known() const { return known_; }  // by id
-  bool holds() const { return held_.has_value(); }
-  const std::string& holder() const { return held_->source; }  // the source of the list that is held
-  uint64_t held_total() const { return held_total_; }
+  bool holds() const { return unconfirmed_.has_value(); }
+  const std::string& holder() const { return unconfirmed_->source; }  // the source of the list that is held
+  uint64_t held_total() const { return unconfirmed_total_; }
 
   // To keep on disk. restore() throws ListUnreadable on what is none; it is told as a list like any other.
   // With an empty identity it may be of any list.
@@ -45,7 +45,7 @@
   nlohmann::json restore(const nlohmann::json& saved);
 
  private:
-  struct Held {
+  struct UnconfirmedList {
     std::string source;
     Millis since = 0;
     int64_t revision = 0;
@@ -55,15 +55,15 @@
 
   bool suspicious(const std::map<std::string, nlohmann::json>& members, const std::string& identity) const;
   std::vector<nlohmann::json> drains(const std::map<std::string, nlohmann::json>& members);
-  std::vector<nlohmann::json> accept(Held list);
+  std::vector<nlohmann::json> accept(UnconfirmedList list);
   static void merge(std::map<std::string, nlohmann::json>& into, const nlohmann::json& members);
 
   Limits limits_;
   int64_t revision_ = -1;
   std::string identity_;
   std::map<std::string, nlohmann::json> known_;
-  std::optional<Held> held_;
-  uint64_t held_total_ = 0;
+  std::optional<UnconfirmedList> unconfirmed_;
+  uint64_t unconfirmed_total_ = 0;
 };
 
 }  // namespace turntally::registry
--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr size_t kSlots = 20;  // quiet lines are spread over their 2 s
-constexpr auto kBeat = std::chrono::milliseconds(100);
-constexpr auto kAhead = std::chrono::seconds(5);
+constexpr auto kHeartbeatInterval = std::chrono::milliseconds(100);
+constexpr auto kAheadTimeout = std::chrono::seconds(5);
 
 }  // namespace
 
-WatchBroadcaster::WatchBroadcaster(boost::asio::io_context& io, const State& state, Late late)
-    : io_(io), state_(state), late_(std::move(late)), beat_(io) {
-  quiet();
+WatchBroadcaster::WatchBroadcaster(boost::asio::io_context& io, const State& state,
+                                   StalenessLine staleness_line)
+    : io_(io), state_(state), staleness_line_(std::move(staleness_line)), heartbeat_timer_(io) {
+  send_heartbeats();
 }
 
 WatchBroadcaster::~WatchBroadcaster() {
@@ -27,12 +28,12 @@
 void WatchBroadcaster::watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head,
                              int64_t index, const std::string& identity) {
   const auto at = watchers_.emplace(watchers_.end());
-  at->slot = slots_++ % kSlots;
+  at->slot = next_slot_++ % kSlots;
   at->known = index < 0 ? 0 : static_cast<Revision>(index);
   at->all = index < 0 || (!identity.empty() && identity != state_.identity());
   if (!at->all && at->known > state_.revision()) {
     ++counts_.behind;
-    at->ahead_until = std::chrono::steady_clock::now() + kAhead;
+    at->ahead_until = std::chrono::steady_clock::now() + kAheadTimeout;
   }
   at->stream = answer->stream(
       head, [this, at] { advance(*at); },
@@ -42,7 +43,7 @@
   if (at->stream == nullptr) watchers_.erase(at);
 }
 
-// What it has not been told, if its connection takes more.
+// What it does not know yet, if its connection takes more.
 void WatchBroadcaster::advance(Watcher& watcher) {
   if (watcher.stream == nullptr || !watcher.stream->idle()) return;
   if (!watcher.all && watcher.known > state_.revision()) {
@@ -60,20 +61,20 @@
   }
   watcher.all = false;
   watcher.known = state_.revision();
-  watcher.told = true;
+  watcher.notified = true;
   ++counts_.sent;
   watcher.stream->write(std::move(chunk));
 }
 
 void WatchBroadcaster::changed() {
-  if (std::exchange(passing_, true)) return;
+  if (std::exchange(advance_scheduled_, true)) return;
   boost::asio::post(io_, [this, alive = alive_] {
-    if (*alive) pass();
+    if (*alive) advance_all();
   });
 }
 
-void WatchBroadcaster::pass() {
-  passing_ = false;
+void WatchBroadcaster::advance_all() {
+  advance_scheduled_ = false;
   for (Watcher& watcher : watchers_) advance(watcher);
 }
 
@@ -102,21 +103,21 @@
   return whole_line_;
 }
 
-void WatchBroadcaster::quiet() {
+void WatchBroadcaster::send_heartbeats() {
   static const net::Shared kEmpty = std::make_shared<std::string>(net::http_chunk("\n"));
   net::Shared line = kEmpty;
-  if (const nlohmann::json late = late_(); !late.is_null()) {
-    line = std::make_shared<std::string>(net::http_chunk(late.dump() + "\n"));
+  if (const nlohmann::json stale = staleness_line_(); !stale.is_null()) {
+    line = std::make_shared<std::string>(net::http_chunk(stale.dump() + "\n"));
   }
-  slot_ = (slot_ + 1) % kSlots;
+  current_slot_ = (current_slot_ + 1) % kSlots;
   for (Watcher& watcher : watchers_) {
-    if (watcher.slot != slot_) continue;
+    if (watcher.slot != current_slot_) continue;
     advance(watcher);
-    if (!std::exchange(watcher.told, false) && watcher.stream->idle()) watcher.stream->write(line);
+    if (!std::exchange(watcher.notified, false) && watcher.stream->idle()) watcher.stream->write(line);
   }
-  beat_.expires_after(kBeat);
-  beat_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) quiet();
+  heartbeat_timer_.expires_after(kHeartbeatInterval);
+  heartbeat_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) send_heartbeats();
   });
 }
 
--- a/registry/watch_broadcaster.h
+++ b/registry/watch_broadcaster.h
@@ -16,17 +16,18 @@
 
 class WatchBroadcaster {
  public:
-  // `late`: what to tell where this member has not heard from a majority, or the list's source is lost, for
-  // long; null while all is well.
-  using Late = std::function<nlohmann::json()>;
+  // `staleness_line`: the line where this member has not heard from a majority, or the list's source is lost,
+  // for long; null while all is well.
+  using StalenessLine = std::function<nlohmann::json()>;
 
-  WatchBroadcaster(boost::asio::io_context& io, const State& state, Late late);
+  WatchBroadcaster(boost::asio::io_context& io, const State& state, StalenessLine staleness_line);
   ~WatchBroadcaster();
 
-  // From the revision that the client knows; -1: none. `identity` of the list that it knows; empty: not told.
+  // From the revision that the client knows; -1: none. `identity` of the list that it knows; empty: not
+  // known.
   void watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head, int64_t index,
              const std::string& identity);
-  void changed();       // the state has: told in the next turn, many changes at once
+  void changed();       // the state has: sent in the next turn, many changes at once
   net::Shared whole();  // the list as a line, encoded once for each revision
 
   size_t watchers() const { return watchers_.size(); }
@@ -44,25 +45,25 @@
     Revision known = 0;
     bool all = false;  // wants the whole list
     bool first = true;
-    // It knows more than this member: it is told nothing until that has caught up, or this time has come.
+    // It knows more than this member: nothing is sent until that has caught up, or this time has come.
     std::chrono::steady_clock::time_point ahead_until;
-    bool told = false;  // since the last quiet line
+    bool notified = false;  // since the last heartbeat
     size_t slot = 0;
   };
 
-  void pass();
+  void advance_all();
   void advance(Watcher& watcher);
-  void quiet();
+  void send_heartbeats();
   net::Shared since(Revision revision);
 
   boost::asio::io_context& io_;
   const State& state_;
-  Late late_;
-  boost::asio::steady_timer beat_;
+  StalenessLine staleness_line_;
+  boost::asio::steady_timer heartbeat_timer_;
   std::list<Watcher> watchers_;
-  size_t slots_ = 0;
-  size_t slot_ = 0;
-  bool passing_ = false;
+  size_t next_slot_ = 0;
+  size_t current_slot_ = 0;
+  bool advance_scheduled_ = false;
   Revision encoded_at_ = 0;
   std::map<Revision, net::Shared> since_;  // up to encoded_at_
   Revision whole_at_ = 0;
