--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -58,6 +58,22 @@
   }
 }
 
+// The last reply, a 307 where it leads nowhere or there are too many; nothing where none came. `arrived` then
+// says whether the last call may have reached a member.
+std::optional<net::HttpReply> call_following_redirects(net::tcp::endpoint to, const net::HttpCall& call,
+                                                       bool& arrived) {
+  std::optional<net::HttpReply> reply;
+  for (int i = 0; i <= kMostRedirects; ++i) {
+    arrived = false;
+    reply = net::http_call(to, call);
+    if (!reply || reply->status != 307) return reply;
+    const auto next = target_of(*reply);
+    if (!next) return reply;
+    to = *next;
+  }
+  return reply;
+}
+
 }  // namespace
 
 net::HttpReply Client::ask(net::HttpCall call) {
@@ -71,25 +87,13 @@
   std::optional<Refused> last;
   call.connected = [&arrived] { arrived = true; };
   do {
-    net::tcp::endpoint to = members_[at_ % members_.size()];
-    for (int i = 0; i <= kMostRedirects; ++i) {
-      arrived = false;
-      const auto reply = net::http_call(to, call);
-      if (!reply) {
-        unknown = unknown || arrived;
-        break;
-      }
-      if (reply->status == 307) {
-        const auto next = target_of(*reply);
-        if (!next) break;
-        to = *next;
-        continue;
-      }
-      if (reply->status != 503) return *reply;
+    const auto reply = call_following_redirects(members_[at_ % members_.size()], call, arrived);
+    if (reply && reply->status != 307 && reply->status != 503) return *reply;
+    if (!reply) unknown = unknown || arrived;
+    if (reply && reply->status == 503) {
       last = refused_by(*reply);
       const json body = json::parse(reply->body, nullptr, false);
       unknown = unknown || text_in(body, "outcome") == "unknown";
-      break;
     }
     ++at_;
     std::this_thread::sleep_for(backoff.next());
--- a/registry/config.cpp
+++ b/registry/config.cpp
@@ -11,7 +11,7 @@
 
 std::string address(const net::Section& section, const std::string& key,
                     const std::optional<std::string>& fallback) {
-  const std::string text = section.word(key, fallback);
+  std::string text = section.word(key, fallback);
   if (text.empty()) return text;
   try {
     if (net::parse_address(text).port() != 0) return text;
--- a/registry/entry_json.cpp
+++ b/registry/entry_json.cpp
@@ -35,7 +35,7 @@
 }
 
 std::string read_id(const json& object, const std::string& expected) {
-  const std::string id = json_field<std::string>(object, "id", expected);
+  auto id = json_field<std::string>(object, "id", expected);
   if (id.empty() || id.size() > kMaxNameLength) {
     throw std::invalid_argument("id must have 1 to 200 characters");
   }
@@ -46,7 +46,7 @@
 }
 
 std::string read_address(const json& object) {
-  const std::string address = json_field<std::string>(object, "host_port", "");
+  auto address = json_field<std::string>(object, "host_port", "");
   try {
     net::parse_address(address);
   } catch (const std::invalid_argument&) {
--- a/registry/lease_requests.cpp
+++ b/registry/lease_requests.cpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 
 LeaseCommand::Kind parse_kind(const json& body) {
-  const std::string name = json_field<std::string>(body, "call", "");
+  const auto name = json_field<std::string>(body, "call", "");
   const auto kind = std::find(std::begin(wire::kLeaseCalls), std::end(wire::kLeaseCalls), name);
   if (kind == std::end(wire::kLeaseCalls)) {
     throw std::invalid_argument("call must be campaign, renew, release, hand_over or record");
--- a/registry/lease_table.h
+++ b/registry/lease_table.h
@@ -26,7 +26,7 @@
   size_t max_waiters = 100;      // candidates in the queue of one lease
   size_t max_past_holders = 16;  // remembered for each lease
   size_t max_leases = 10'000;
-  size_t max_checkpoint_bytes = 64 * 1024;
+  size_t max_checkpoint_bytes = size_t{64} * 1024;
   bool operator==(const LeaseLimits&) const = default;
 };
 
--- a/registry/membership_requests.cpp
+++ b/registry/membership_requests.cpp
@@ -104,7 +104,7 @@
   });
 }
 
-void MembershipRequests::remove_ids(MemberNumber number, Done done) {
+void MembershipRequests::remove_ids(MemberNumber number, const Done& done) {
   auto& peers = member_.raft.members;
   const auto peer = std::find_if(peers.begin(), peers.end(),
                                  [&](const Peer& one) { return member_number(one.id) == number; });
--- a/registry/membership_requests.h
+++ b/registry/membership_requests.h
@@ -27,7 +27,7 @@
   void remove(const net::HttpRequest& request, const Responder& responder, MemberNumber number);
   void step_down(const Responder& responder);
   // Takes every id of that number out of the log's configuration.
-  void remove_ids(MemberNumber number, Done done);
+  void remove_ids(MemberNumber number, const Done& done);
   bool is_known(MemberNumber number) const;
 
   MemberState& member_;
