--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -69,7 +69,7 @@
     : io_(io),
       settings_(settings),
       listener_(std::move(listener)),
-      holder_(settings.holder),
+      state_(settings.holder),
       calls_(io, settings.members, settings.holder.seed),
       timer_(io),
       closing_(io) {}
@@ -85,29 +85,29 @@
 }
 
 milliseconds LeaseClient::left() const {
-  return is_held() ? in_ms(holder_.held_until() - now()) : milliseconds(0);
+  return is_held() ? in_ms(state_.held_until() - now()) : milliseconds(0);
 }
 
-void LeaseClient::start() { take(holder_.start(now())); }
+void LeaseClient::start() { perform(state_.start(now())); }
 
 void LeaseClient::release() {
   deliver([this] {
-    if (!ends_) take(holder_.release(now()));
+    if (!close_called_) perform(state_.release(now()));
   });
 }
 
 void LeaseClient::close(std::function<void()> closed) {
-  if (ends_) return;
-  ends_ = true;
+  if (close_called_) return;
+  close_called_ = true;
   closed_ = std::move(closed);
   closing_.expires_after(2 * in_ms(settings_.holder.answer));
   closing_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
-    if (*alive && !error) say_closed();
+    if (*alive && !error) notify_closed();
   });
-  take(holder_.close(now()));
+  perform(state_.close(now()));
 }
 
-void LeaseClient::say_closed() {
+void LeaseClient::notify_closed() {
   closing_.cancel();
   if (const auto closed = std::exchange(closed_, nullptr)) closed();
 }
@@ -118,51 +118,51 @@
   });
 }
 
-void LeaseClient::take(const std::vector<Action>& actions) {
+void LeaseClient::perform(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
-    if (const auto* ask = std::get_if<LeaseRequest>(&action)) {
-      send(*ask);
-    } else if (const auto* begin = std::get_if<LeaseAcquired>(&action)) {
-      told_back_ = false;
-      deliver([this, begin = *begin] { listener_.begin(begin.token, begin.checkpoint); });
-    } else if (const auto* stop = std::get_if<LeaseLost>(&action)) {
-      deliver([this, why = stop->reason] { listener_.stop(why); });
+    if (const auto* request = std::get_if<LeaseRequest>(&action)) {
+      send(*request);
+    } else if (const auto* acquired = std::get_if<LeaseAcquired>(&action)) {
+      release_notified_ = false;
+      deliver([this, lease = *acquired] { listener_.begin(lease.token, lease.checkpoint); });
+    } else if (const auto* lost = std::get_if<LeaseLost>(&action)) {
+      deliver([this, reason = lost->reason] { listener_.stop(reason); });
     }
   }
-  if (holder_.release_requested() && !std::exchange(told_back_, true)) {
+  if (state_.release_requested() && !std::exchange(release_notified_, true)) {
     deliver([this] { listener_.asked_back(); });
   }
   wait();
 }
 
 void LeaseClient::wait() {
-  if (holder_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to give back
+  if (state_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to give back
     timer_.cancel();
-    return deliver([this] { say_closed(); });
+    return deliver([this] { notify_closed(); });
   }
-  const Time span = std::clamp(holder_.next() - now(), Time{0}, kLongestWait);
+  const Time span = std::clamp(state_.next() - now(), Time{0}, kLongestWait);
   timer_.expires_after(
       std::chrono::microseconds(static_cast<Time>(static_cast<double>(span) / settings_.clock_rate)));
   timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
-    if (*alive && !error) take(holder_.tick(now()));
+    if (*alive && !error) perform(state_.tick(now()));
   });
 }
 
-void LeaseClient::send(const LeaseRequest& ask) {
-  json body = {{"call", name_of(ask.kind)}, {"holder", settings_.holder.holder}};
-  if (ask.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
-  if (ask.kind != LeaseRequest::Kind::kCampaign) body["token"] = ask.token;
+void LeaseClient::send(const LeaseRequest& request) {
+  json body = {{"call", name_of(request.kind)}, {"holder", settings_.holder.holder}};
+  if (request.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
+  if (request.kind != LeaseRequest::Kind::kCampaign) body["token"] = request.token;
   calls_.call(
       {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), in_ms(settings_.holder.answer)},
-      [this, number = ask.number](const std::optional<net::HttpReply>& reply) {
+      [this, number = request.number](const std::optional<net::HttpReply>& reply) {
         place_ = 0;
-        note(reply);
-        take(holder_.answered(now(), number, parsed(reply, place_)));
+        log_error(reply);
+        perform(state_.answered(now(), number, parsed(reply, place_)));
       });
 }
 
-// Said once, until something else is said: a call that is refused is asked again all the time.
-void LeaseClient::note(const std::optional<net::HttpReply>& reply) {
+// Logged once until the error changes: a refused call is repeated all the time.
+void LeaseClient::log_error(const std::optional<net::HttpReply>& reply) {
   std::string what = reply ? "" : "no member of the registry answers in time";
   if (reply && reply->status != 200) {
     const json body = body_of(*reply);
@@ -170,8 +170,8 @@
     const std::string code = body.value("code", "");
     if (code == "lease_fenced") what.clear();  // how a grant ends
   }
-  if (what == trouble_) return;
-  trouble_ = what;
+  if (what == last_error_) return;
+  last_error_ = what;
   if (!what.empty()) net::log::warn("lease_not_answered", "lease", settings_.holder.name, "why", what);
 }
 
--- a/lease/lease_client.h
+++ b/lease/lease_client.h
@@ -1,4 +1,4 @@
-// The shell of lease::Holder on Asio: its calls go to the registry's members over HTTP, its clock is
+// LeaseState on Asio: its calls go to the registry's members over HTTP, its clock is
 // CLOCK_BOOTTIME, so that the time of a machine that sleeps counts.
 #pragma once
 
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "lease/registry_caller.h"
 #include "lease/lease_state.h"
+#include "lease/registry_caller.h"
 
 namespace turntally::lease {
 
@@ -22,11 +22,11 @@
 
 class LeaseClient {
  public:
-  // None is called from within a call of the shell's user.
+  // None is called from within a call of this class.
   struct Listener {
     std::function<void(Token token, const std::string& record)> begin;  // acts may begin
     std::function<void(const std::string& why)> stop;                   // none may begin any more
-    std::function<void()> asked_back;  // somebody else is to have it: end soon, then give_back()
+    std::function<void()> asked_back;  // somebody else is to have it: end soon, then release()
   };
   enum class CheckpointResult { kDone, kFenced, kFailed };  // kFailed: it may have been taken
 
@@ -36,45 +36,45 @@
   void start();
   // Nothing is out any more and the lease goes to the next in line; this one goes to the line's end.
   void release();
-  // Gives the lease or the place in line back, and campaigns no more. `closed` once that has been answered,
-  // or nobody has in two times `answer`.
+  // Releases the lease or the place in the queue, and campaigns no more. `closed` once that has been
+  // answered, or nobody has in two times `answer`.
   void close(std::function<void()> closed);
 
   // Right before each act: says no without the loop's help, also in a process that was stopped.
-  bool is_held() const { return holder_.is_held(now()); }
+  bool is_held() const { return state_.is_held(now()); }
   std::chrono::milliseconds left() const;  // of the time in which acts may begin
-  Token token() const { return holder_.token(); }
-  bool release_requested() const { return holder_.release_requested(); }
+  Token token() const { return state_.token(); }
+  bool release_requested() const { return state_.release_requested(); }
   const LeaseSettings& settings() const { return settings_.holder; }
   size_t place() const { return place_; }  // in line; 0: not known to wait
 
   // Why the last call for the lease brought nothing; empty where it did.
-  const std::string& last_error() const { return trouble_; }
+  const std::string& last_error() const { return last_error_; }
 
-  // For the successor: what has been done so far. Only while held(), one at a time.
+  // For the successor: what has been done so far. Only while is_held(), one at a time.
   void save_checkpoint(const std::string& text, std::function<void(CheckpointResult)> done);
 
  private:
   Time now() const;
-  void take(const std::vector<Action>& actions);
-  void send(const LeaseRequest& ask);
+  void perform(const std::vector<Action>& actions);
+  void send(const LeaseRequest& request);
   void wait();
-  void note(const std::optional<net::HttpReply>& reply);
+  void log_error(const std::optional<net::HttpReply>& reply);
   void deliver(std::function<void()> event);
-  void say_closed();
+  void notify_closed();
 
   boost::asio::io_context& io_;
   LeaseClientSettings settings_;
   Listener listener_;
-  LeaseState holder_;
+  LeaseState state_;
   RegistryCaller calls_;
   boost::asio::steady_timer timer_;
   boost::asio::steady_timer closing_;
   std::function<void()> closed_;
-  bool ends_ = false;       // close() was called
-  bool told_back_ = false;  // asked_back() was said for this grant
+  bool close_called_ = false;      // close() was called
+  bool release_notified_ = false;  // asked_back() was called for this grant
   size_t place_ = 0;
-  std::string trouble_;
+  std::string last_error_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lease/registry_caller.cpp
+++ b/lease/registry_caller.cpp
@@ -40,7 +40,7 @@
         done_(std::move(done)),
         until_(Clock::now() + call_.timeout) {}
 
-  void ask() {
+  void send() {
     const auto shared = shared_.lock();
     if (!shared) return;
     const auto left = std::chrono::duration_cast<milliseconds>(until_ - Clock::now());
@@ -61,7 +61,7 @@
       if (const auto to = location == reply->fields.end() ? std::nullopt : address_in(location->second)) {
         ++redirects_;
         shared->at = *to;
-        return ask();
+        return send();
       }
     }
     if (reply && reply->status != 307 && reply->status != 503) return done_(std::move(reply));
@@ -72,7 +72,7 @@
     if (!left()) return done_(std::move(last_));
     pause_.expires_after(kPause);
     pause_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
-      if (!error) self->ask();
+      if (!error) self->send();
     });
   }
 
@@ -95,7 +95,7 @@
 }
 
 void RegistryCaller::call(net::HttpCall call, Done done) {
-  std::make_shared<Attempt>(shared_, std::move(call), std::move(done))->ask();
+  std::make_shared<Attempt>(shared_, std::move(call), std::move(done))->send();
 }
 
 }  // namespace turntally::lease
--- a/lease/registry_caller.h
+++ b/lease/registry_caller.h
@@ -1,5 +1,5 @@
 // Calls to a registry of several members, on a loop: redirects are followed, and on failure the next member
-// is asked until the call's time is over. So each call must be safe to repeat.
+// is called until the call's time is over. So each call must be safe to repeat.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -29,7 +29,7 @@
   struct Shared {
     boost::asio::io_context& io;
     std::vector<net::tcp::endpoint> members;
-    net::tcp::endpoint at;  // who is asked first: the one that answered last
+    net::tcp::endpoint at;  // called first: the member that answered last
     size_t next = 0;
   };
   class Attempt;
