--- a/lease/lease_state.cpp
+++ b/lease/lease_state.cpp
@@ -49,31 +49,36 @@
       }
       break;
     case LeaseRequest::Kind::kCampaign:
-      if (reply.kind == LeaseReply::Kind::kGranted && reply.token != 0) {
-        if (release_ || reply.token <= released_token_) {
-          // Closed meanwhile, or a grant that was to go back and still stands: a release that is late on its
-          // way would end it at any time.
-          start_release(now, reply.token);
-        } else if (call.sent + usable_ttl() > now) {
-          token_ = reply.token;
-          release_requested_ = false;
-          extend(now, call.sent, reply);
-          out.push_back(LeaseAcquired{token_, reply.checkpoint});
-        } else {
-          retry_later(now, reply);
-        }
-      } else if (reply.kind == LeaseReply::Kind::kQueued) {
-        retry_span_ = settings_.first_pause;
-        next_request_ = release_ ? now : std::max(now, call.sent + renewal_interval());
-      } else {
-        retry_later(now, reply);
-      }
+      on_campaign_reply(now, call, reply, out);
       break;
   }
   append(out, step(now));
   return out;
 }
 
+void LeaseState::on_campaign_reply(Time now, const InFlight& call, const LeaseReply& reply,
+                                   std::vector<Action>& out) {
+  if (reply.kind == LeaseReply::Kind::kGranted && reply.token != 0) {
+    if (release_ || reply.token <= released_token_) {
+      // Closed meanwhile, or a grant that was to go back and still stands: a release that is late on its
+      // way would end it at any time.
+      start_release(now, reply.token);
+    } else if (call.sent + usable_ttl() > now) {
+      token_ = reply.token;
+      release_requested_ = false;
+      extend(now, call.sent, reply);
+      out.push_back(LeaseAcquired{token_, reply.checkpoint});
+    } else {
+      retry_later(now, reply);
+    }
+  } else if (reply.kind == LeaseReply::Kind::kQueued) {
+    retry_span_ = settings_.first_pause;
+    next_request_ = release_ ? now : std::max(now, call.sent + renewal_interval());
+  } else {
+    retry_later(now, reply);
+  }
+}
+
 std::vector<Action> LeaseState::tick(Time now) { return step(now); }
 
 std::vector<Action> LeaseState::release(Time now) {
--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -106,6 +106,7 @@
   };
   std::vector<Action> step(Time now);
   void send(Time now, LeaseRequest::Kind kind, std::vector<Action>& out);
+  void on_campaign_reply(Time now, const InFlight& call, const LeaseReply& reply, std::vector<Action>& out);
   void extend(Time now, Time sent, const LeaseReply& reply);
   void retry_later(Time now, const LeaseReply& reply);
   void lose_grant(Time now, const char* reason, std::vector<Action>& out);
