--- /dev/null
+++ b/relay/client_session.cpp
@@ -0,0 +1,239 @@
+#include "relay/client_session.h"
+
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <boost/asio/write.hpp>
+#include <cctype>
+#include <nlohmann/json.hpp>
+#include <stdexcept>
+
+#include "relay/put_command.h"
+
+namespace turntally::relay {
+namespace {
+
+constexpr Time kSecond = 1'000'000;
+constexpr Time kMaxSilence = 5 * kSecond / 2;  // with nothing ever sent
+constexpr Time kMaxCommandTime = 2 * kSecond;  // from a command's first byte to its last
+constexpr Time kMinFirstCommandTime =
+    3 * kSecond / 10;                             // the first one gets what is left of the silence, but this
+constexpr Time kClientTimeout = 2 * kSecond / 5;  // then it gives its request up
+constexpr Time kMaxWriteTime = 2 * kSecond;       // for an answer that the client does not read
+constexpr Time kMaxLingerAfterError =
+    5 * kSecond;  // after an error, so that a client still sending gets to read it
+constexpr Time kMaxLinger = 3 * kSecond / 2;  // after an end between requests, for the client's own
+constexpr size_t kMaxDiscardedBytes = size_t{96} * 1024 * 1024;  // bytes, and so many bytes of it
+constexpr size_t kDiscardBytes = size_t{256} * 1024;
+constexpr Time kMinIdle = 2 * kSecond;                // between requests
+constexpr Time kMinIdleUnderPressure = kSecond / 20;  // the same, where every other was of use just now
+constexpr Time kMinSilence = 3 * kSecond / 10;        // with nothing ever sent
+constexpr Time kMinLingerAfterError = kSecond;
+constexpr Time kMinLinger = kSecond / 20;  // after an end between requests: for what its client had sent
+
+// Keys of a connection's state in a hand-over: the next version reads them, they never change.
+constexpr const char* kSinceKey = "since";
+constexpr const char* kReceivedAtKey = "came";
+constexpr const char* kCommandSinceKey = "began";
+constexpr const char* kHasSpokenKey = "spoke";
+
+std::string upper(std::string text) {
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return std::toupper(c); });
+  return text;
+}
+
+}  // namespace
+
+void Clients::Session::proceed() {
+  if (owner_ != nullptr && owner_->hand_over_) return hand_over();
+  std::optional<std::vector<std::string>> words;
+  try {
+    words = parser_.next();
+  } catch (const RespError& error) {
+    return refuse("-ERR protocol error: " + std::string(error.what()));
+  }
+  if (words) {
+    command_since_ = 0;
+    return handle(*words);
+  }
+  if (owner_ == nullptr) return;
+  if (parser_.empty()) {
+    command_since_ = 0;
+  } else if (command_since_ == 0) {
+    command_since_ = steady_now();
+  }
+  state_ = State::kReading;
+  stream_.socket().async_wait(tcp::socket::wait_read,
+                              [self = shared_from_this()](auto error) { self->readable(error); });
+  if (owner_->finishing_ || (has_spoken_ && owner_->leaving())) finish();
+}
+
+void Clients::Session::hand_over() {
+  const nlohmann::json state = {{kSinceKey, since_},
+                                {kReceivedAtKey, received_at_},
+                                {kCommandSinceKey, command_since_},
+                                {kHasSpokenKey, has_spoken_}};
+  owner_->hand_over_(state.dump() + "\n" + std::string(parser_.rest()), stream_.socket().native_handle());
+  boost::system::error_code ignored;
+  stream_.socket().close(ignored);
+  state_ = State::kClosed;
+  std::exchange(owner_, nullptr)->forget(place);
+}
+
+void Clients::Session::restore(const std::string& text) {
+  const size_t end = text.find('\n');
+  const auto state = nlohmann::json::parse(text.substr(0, end));
+  since_ = state.at(kSinceKey).get<Time>();
+  received_at_ = state.at(kReceivedAtKey).get<Time>();
+  command_since_ = state.at(kCommandSinceKey).get<Time>();
+  has_spoken_ = state.at(kHasSpokenKey).get<bool>();
+  parser_.feed(std::string_view(text).substr(end + 1));
+  proceed();
+}
+
+void Clients::Session::finish() {
+  boost::system::error_code ignored;
+  if (!has_spoken_ && steady_now() - since_ < kMinSilence) return;
+  if (state_ == State::kReading && parser_.empty()) stream_.socket().cancel(ignored);
+}
+
+void Clients::Session::orphan() {
+  owner_ = nullptr;
+  boost::system::error_code ignored;
+  stream_.socket().close(ignored);
+}
+
+void Clients::Session::enforce_timeouts(Time now) {
+  const Time command_age = state_ == State::kReading && command_since_ != 0 ? now - command_since_ : 0;
+  const Time max_linger = closing_after_answer_ ? kMaxLingerAfterError : kMaxLinger;
+  const bool late = command_age >= kMaxCommandTime ||
+                    (!has_spoken_ && command_age >= kMinFirstCommandTime && now - since_ >= kMaxSilence);
+  if (late && quiet()) {  // what has come is looked at first: this process may have been held up
+    refuse("-ERR the command took too long");
+  } else if (state_ == State::kReading && !has_spoken_ && command_since_ == 0 &&
+             now - since_ >= kMaxSilence && quiet()) {
+    linger();
+  } else if ((state_ == State::kWriting && now - since_ >= kMaxWriteTime) ||
+             (state_ == State::kLingering && now - since_ >= max_linger)) {
+    close();
+  }
+}
+
+Time Clients::Session::spare(Time now, bool pressed) const {
+  const Time age = now - since_;
+  if (state_ == State::kLingering) return age - (closing_after_answer_ ? kMinLingerAfterError : kMinLinger);
+  if (state_ != State::kReading || command_since_ != 0) return -1;
+  return age - (!has_spoken_ ? kMinSilence : pressed ? kMinIdleUnderPressure : kMinIdle);
+}
+
+bool Clients::Session::quiet() const {
+  boost::system::error_code error;
+  return stream_.socket().available(error) == 0 || error;
+}
+
+void Clients::Session::linger() {
+  boost::system::error_code ignored;
+  stream_.socket().cancel(ignored);
+  stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
+  parser_ = RespParser();
+  since_ = steady_now();
+  state_ = State::kLingering;
+  linger_on();
+}
+
+void Clients::Session::close() {
+  boost::system::error_code ignored;
+  stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
+  stream_.socket().close(ignored);
+  state_ = State::kClosed;
+  if (owner_ != nullptr) std::exchange(owner_, nullptr)->forget(place);
+}
+
+void Clients::Session::readable(const boost::system::error_code& error) {
+  if (owner_ == nullptr || state_ != State::kReading || !owner_->reading_) return;
+  if (error && error != boost::asio::error::operation_aborted) return close();
+  if (error && quiet()) return linger();
+  boost::system::error_code failed;
+  const size_t count = stream_.read_some(boost::asio::buffer(owner_->bytes_), failed);
+  if (failed == boost::asio::error::would_block) return proceed();
+  if (count == 0) return close();
+  const Time waiting = time_in_socket();
+  if (waiting >= kClientTimeout && peer_closed()) return close();
+  received_at_ = steady_now() - waiting;
+  parser_.feed({owner_->bytes_.data(), count});
+  proceed();
+}
+
+Time Clients::Session::time_in_socket() {
+  tcp_info info{};
+  socklen_t size = sizeof info;
+  if (::getsockopt(stream_.socket().native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
+  return Time{1000} * info.tcpi_last_data_recv;
+}
+
+bool Clients::Session::peer_closed() {
+  char byte = 0;
+  ssize_t got = 0;
+  do {
+    got = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (got < 0 && errno == EINTR);
+  return got == 0;
+}
+
+void Clients::Session::handle(const std::vector<std::string>& words) {
+  has_spoken_ = true;
+  state_ = State::kServing;
+  const std::string command = upper(words[0]);
+  if (command == "PING" && words.size() <= 2) {
+    if (owner_ == nullptr || owner_->draining_since_ != 0) return answer("-DRAINING");
+    if (words.size() == 1) return answer("+PONG");
+    return answer("$" + std::to_string(words[1].size()) + "\r\n" + words[1]);
+  }
+  if (command != "MSG.PUT") return answer("-ERR unknown command");
+  if (owner_ == nullptr) return;
+  try {
+    SubmittedMessage message = parse_put(words);
+    message.time_to_live = std::max<Time>(0, message.time_to_live - (steady_now() - received_at_));
+    owner_->submit_(std::move(message),
+                    [self = shared_from_this()](const std::string& line) { self->answer(line); });
+  } catch (const std::invalid_argument& error) {
+    answer(std::string("-ERR ") + error.what());
+  }
+}
+
+void Clients::Session::answer(std::string line) {
+  if (state_ == State::kClosed) return;
+  answer_ = std::move(line) + "\r\n";
+  state_ = State::kWriting;
+  since_ = steady_now();
+  boost::asio::async_write(stream_, boost::asio::buffer(answer_),
+                           [self = shared_from_this()](auto error, size_t) {
+                             if (self->owner_ == nullptr) return;
+                             if (error) return self->close();
+                             std::string().swap(self->answer_);
+                             self->since_ = steady_now();
+                             self->closing_after_answer_ ? self->linger() : self->proceed();
+                           });
+}
+
+void Clients::Session::refuse(const std::string& line) {
+  closing_after_answer_ = true;
+  answer(line);
+}
+
+void Clients::Session::linger_on() {
+  stream_.socket().async_wait(tcp::socket::wait_read, [self = shared_from_this()](auto error) {
+    if (self->owner_ == nullptr || self->state_ != State::kLingering) return;
+    if (error == boost::asio::error::operation_aborted) return self->linger_on();
+    if (error) return self->close();
+    const ssize_t got =
+        ::recv(self->stream_.socket().native_handle(), nullptr, kDiscardBytes, MSG_TRUNC | MSG_DONTWAIT);
+    if (got > 0) self->discarded_ += static_cast<size_t>(got);
+    const bool empty = got < 0 && (errno == EAGAIN || errno == EINTR);
+    if ((got <= 0 && !empty) || self->discarded_ > kMaxDiscardedBytes) return self->close();
+    self->linger_on();
+  });
+}
+
+}  // namespace turntally::relay
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -14,20 +14,18 @@
 
 namespace turntally::relay {
 
-// Reads the words of MSG.PUT; throws std::invalid_argument with a line for the client.
-SubmittedMessage parse_put(const std::vector<std::string>& words);
-
 class Clients {
  public:
   using Answer = std::function<void(std::string line)>;  // called once, with a RESP line without its end
-  using Put = std::function<void(SubmittedMessage message, Answer answer)>;
+  using Submit = std::function<void(SubmittedMessage message, Answer answer)>;
 
   // For another process: a connection, with what it must know of it.
-  using Give = std::function<void(const std::string& state, int descriptor)>;
+  using HandOver = std::function<void(const std::string& state, int descriptor)>;
 
-  // Listens at once, or takes a listener over, and holds at most `most` connections; throws
+  // Listens at once, or takes a listener over, and has at most `max_sessions` connections; throws
   // boost::system::system_error.
-  Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most, Put put, int listener = -1);
+  Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions, Submit submit,
+          int listener = -1);
   ~Clients();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -47,10 +45,10 @@
   void activate() { draining_since_ = 0; }
 
   // Holds at most so many from now on: those beyond go as they can be spared.
-  void limit(size_t most) { most_ = most; }
+  void limit(size_t max_sessions) { max_sessions_ = max_sessions; }
 
   // Takes no new connection and gives those that are open away, each once it has been answered.
-  void hand_over(Give give);
+  void hand_over(HandOver hand_over);
   int listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
   bool answered() const;                                         // none waits for an answer to what was read
   void add_inherited(const std::string& state, int descriptor);  // one that was given away
@@ -62,9 +60,11 @@
 
   void accept();
   void accept_in(std::chrono::microseconds pause);
-  void accept_rest();
+  void accept_waiting();
   std::shared_ptr<Session> add(tcp::socket socket);
   bool make_room();
+  void end_idle(Time now, bool pressed, size_t wanted, size_t& leaving);
+  void close_lingering(Time now);
   void sweep();
   void forget(std::list<std::shared_ptr<Session>>::iterator place);
 
@@ -73,14 +73,14 @@
   tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_;
   boost::asio::steady_timer sweeper_;
-  size_t most_;
-  Put put_;
+  size_t max_sessions_;
+  Submit submit_;
   bool accepting_ = false;
   bool finishing_ = false;
   bool reading_ = true;
-  Time draining_since_ = 0;            // 0: not draining
-  Give give_;                          // set: whatever can goes to another process
-  std::array<char, 64 * 1024> bytes_;  // what was read last, of any connection
+  Time draining_since_ = 0;                    // 0: not draining
+  HandOver hand_over_;                         // set: whatever can goes to another process
+  std::array<char, size_t{64} * 1024> bytes_;  // what was read last, of any connection
   std::list<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -48,23 +48,31 @@
 // Keys that a class may do without, by its effect or altogether.
 const std::set<std::string> kOptional = {"aim_stretch", "in_order", "key_scope", "key_ttl_s"};
 
+// Of classes and the like each must have the keys that all had.
+json common_keys(const json& items) {
+  json common = items.front();
+  for (const auto& entry : items.front().items()) {
+    const std::string& key = entry.key();
+    const bool everywhere =
+        std::all_of(items.begin(), items.end(), [&](const json& item) { return item.contains(key); });
+    if (!everywhere || kOptional.contains(key)) common.erase(key);
+  }
+  return common;
+}
+
 void require_keys(const json& accepted, const json& later, const std::string& path) {
   if (accepted.is_object()) {
     if (!later.is_object()) throw BadConfig(path + " is no object");
     for (const auto& [key, value] : accepted.items()) {
-      if (!later.contains(key)) throw BadConfig(path + "." + key + " is missing");
-      require_keys(value, later.at(key), path + "." + key);
+      std::string key_path = path;
+      key_path.append(".").append(key);
+      if (!later.contains(key)) throw BadConfig(key_path + " is missing");
+      require_keys(value, later.at(key), key_path);
     }
   } else if (accepted.is_array()) {
     if (!later.is_array()) throw BadConfig(path + " is no list");
     if (accepted.empty() || !accepted.front().is_object()) return;
-    json common = accepted.front();  // of classes and the like each has what all had
-    for (const auto& entry : accepted.front().items()) {
-      const std::string& key = entry.key();
-      const bool everywhere =
-          std::all_of(accepted.begin(), accepted.end(), [&](const json& item) { return item.contains(key); });
-      if (!everywhere || kOptional.contains(key)) common.erase(key);
-    }
+    const json common = common_keys(accepted);
     for (const json& item : later) require_keys(common, item, path);
   }
 }
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -22,9 +22,9 @@
 constexpr auto kMostWrite = std::chrono::milliseconds(1000);  // for an answer that is not read
 constexpr auto kLinger = std::chrono::milliseconds(200);      // for the caller's close
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-constexpr size_t kMostHead = 8 * 1024;
-constexpr size_t kMostBody = 8 * 1024;  // no call needs one
-constexpr size_t kMostLinger = 16 * 1024 * 1024;
+constexpr size_t kMostHead = size_t{8} * 1024;
+constexpr size_t kMostBody = size_t{8} * 1024;  // no call needs one
+constexpr size_t kMostLinger = size_t{16} * 1024 * 1024;
 
 // The call that a request makes; else the answer to what is none.
 std::variant<OperatorCall, OperatorReply> parse_call(http::verb method, std::string_view target) {
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -30,6 +30,10 @@
 // For an owner that ends rather than hands over, and for either side that is held up: what the other one
 // drops then is its clients.
 constexpr auto kPeerTimeout = std::chrono::seconds(5);
+// Of the local socket's name, followed by the device and inode of the folder's lock. It is the program's name
+// of before: a relay of that version meets its successor there.
+constexpr const char* kSocketPrefix = "umberhoist-";
+
 constexpr auto kPoll = std::chrono::milliseconds(20);
 constexpr auto kRetryPause = std::chrono::milliseconds(50);
 constexpr size_t kMaxFrameBytes = 320 * 1024;  // a client's bytes: one read beside a command not yet whole
@@ -69,7 +73,7 @@
   if (lock_.get() < 0 || ::fstat(lock_.get(), &about) != 0) {
     throw StateUnusable("cannot open " + lock.string() + ": " + std::strerror(errno));
   }
-  name_ = "umberhoist-" + std::to_string(about.st_dev) + "-" + std::to_string(about.st_ino);
+  name_ = kSocketPrefix + std::to_string(about.st_dev) + "-" + std::to_string(about.st_ino);
   const auto until = std::chrono::steady_clock::now() + kPeerTimeout;
   while (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0 && !request_folder_lock()) {
     if (std::chrono::steady_clock::now() > until) {
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -21,11 +21,19 @@
 constexpr size_t kHeader = 8;         // length and checksum
 constexpr std::chrono::seconds kOpenPatience{5};
 
-enum Kind : char { kAccepted = 'A', kAttempt = 'T', kNeverRan = 'N', kOwed = 'O', kDone = 'D', kFact = 'F' };
+// The first byte of a record: a later version reads it, it never changes.
+enum RecordKind : char {
+  kAccepted = 'A',
+  kAttempt = 'T',
+  kNotStarted = 'N',
+  kFinalAnswer = 'O',
+  kAcknowledged = 'D',
+  kFact = 'F'
+};
 
 class Writer {
  public:
-  Writer(Kind kind, const std::string& id) {
+  Writer(RecordKind kind, const std::string& id) {
     out_.push_back(kind);
     text(id);
   }
@@ -81,6 +89,34 @@
   return std::string(raw, kHeader).append(payload);
 }
 
+Recovered read_accepted(const std::string& id, Reader& in) {
+  Recovered entry;
+  entry.message.id = id;
+  entry.message.message_class = in.text();
+  entry.message.key = in.text();
+  entry.message.destination = static_cast<int>(in.number());
+  entry.deadline = in.number();
+  entry.message.body = in.text();
+  if (in.more()) entry.message.tenant = in.text();  // none of these is in older records
+  if (in.more()) entry.terms_number = in.number();
+  if (in.more()) entry.message.ordering_key = static_cast<uint64_t>(in.number());
+  return entry;
+}
+
+void read_attempt(Recovered& entry, Reader& in) {
+  const int number = static_cast<int>(in.number());
+  const Time sent = in.number();
+  if (number >= entry.attempts) ++entry.begun;  // a call that needs a new connection is recorded again
+  entry.attempts = number + 1;
+  RecordedAttempt& attempt = entry.possibly_run[number] = {sent, static_cast<int>(in.number()), ""};
+  if (in.more()) attempt.zone_name = in.text();  // not in older records
+}
+
+FinalAnswer read_final_answer(const std::string& id, Reader& in) {
+  const bool returned = in.number() != 0;
+  return FinalAnswer{id, returned, in.number()};
+}
+
 bool write_all(int file, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t done = ::write(file, bytes.data(), bytes.size());
@@ -151,45 +187,26 @@
   const std::string id = in.text();
   if (kind == kFact) return set_fact(id, in.text());
   if (kind == kAccepted) {
-    Recovered entry;
-    entry.message.id = id;
-    entry.message.message_class = in.text();
-    entry.message.key = in.text();
-    entry.message.destination = static_cast<int>(in.number());
-    entry.deadline = in.number();
-    entry.message.body = in.text();
-    if (in.more()) entry.message.tenant = in.text();  // none of these is in older records
-    if (in.more()) entry.terms_number = in.number();
-    if (in.more()) entry.message.ordering_key = static_cast<uint64_t>(in.number());
     places[id] = recovered_.size();
-    recovered_.push_back(std::move(entry));
+    recovered_.push_back(read_accepted(id, in));
     places_[id] = ++order_;
   }
   const auto place = places.find(id);
   if (place == places.end()) return;
   Recovered& entry = recovered_[place->second];
-  std::string& kept = live_[places_[id]];
-  if (kind == kAttempt) {
-    const int number = static_cast<int>(in.number());
-    const Time sent = in.number();
-    if (number >= entry.attempts) ++entry.begun;  // a call that needs a new connection is put on record again
-    entry.attempts = number + 1;
-    RecordedAttempt& attempt = entry.possibly_run[number] = {sent, static_cast<int>(in.number()), ""};
-    if (in.more()) attempt.zone_name = in.text();  // not in older records
-  } else if (kind == kNeverRan) {
-    entry.possibly_run.erase(static_cast<int>(in.number()));
-  } else if (kind == kOwed) {
-    const bool returned = in.number() != 0;
-    entry.unacknowledged_answer = FinalAnswer{id, returned, in.number()};
-  } else if (kind == kDone) {
-    live_bytes_ -= kept.size() + kReserve;
+  std::string& records = live_[places_[id]];
+  if (kind == kAcknowledged) {
+    live_bytes_ -= records.size() + kReserve;
     live_.erase(places_[id]);
     places_.erase(id);
     places.erase(place);
     return;
   }
-  if (kept.empty()) live_bytes_ += kReserve;
-  kept += framed(record);
+  if (kind == kAttempt) read_attempt(entry, in);
+  if (kind == kNotStarted) entry.possibly_run.erase(static_cast<int>(in.number()));
+  if (kind == kFinalAnswer) entry.unacknowledged_answer = read_final_answer(id, in);
+  if (records.empty()) live_bytes_ += kReserve;
+  records += framed(record);
   live_bytes_ += kHeader + record.size();
 }
 
@@ -268,20 +285,20 @@
   if (!zone_name.empty()) out.text(zone_name);
   const std::string& payload = out.payload();
   if (append(id, payload)) return true;
-  std::string& kept = live_[place->second];  // the call does not start: a compaction must not tell of it
+  std::string& records = live_[place->second];  // the call does not start: a compaction must not tell of it
   const size_t record = kHeader + payload.size();
-  kept.resize(kept.size() - record);
+  records.resize(records.size() - record);
   live_bytes_ -= record;
   return false;
 }
 
 void Journal::record_not_started(const std::string& id, int number) {
-  append(id, Writer(kNeverRan, id).number(number).payload());
+  append(id, Writer(kNotStarted, id).number(number).payload());
 }
 
-bool Journal::record_final_answer(const FinalAnswer& notice) {
-  return append(notice.id,
-                Writer(kOwed, notice.id).number(notice.returned).number(notice.retry_after).payload());
+bool Journal::record_final_answer(const FinalAnswer& answer) {
+  return append(answer.id,
+                Writer(kFinalAnswer, answer.id).number(answer.returned).number(answer.retry_after).payload());
 }
 
 void Journal::record_acknowledged(const std::string& id) {
@@ -290,7 +307,7 @@
   live_bytes_ -= live_[place->second].size() + kReserve;
   live_.erase(place->second);
   places_.erase(place);
-  write(framed(Writer(kDone, id).payload()));
+  write(framed(Writer(kAcknowledged, id).payload()));
 }
 
 bool Journal::append(const std::string& id, const std::string& payload) {
@@ -302,8 +319,8 @@
   return write(bytes);
 }
 
-// The live records already hold what is written here, so a compaction writes it too; also what could not be
-// written before: the file stays behind them until one succeeds.
+// The live records already have what is written here, so a compaction writes it too; also what could not be
+// written before: the file stays incomplete until one succeeds.
 bool Journal::write(std::string_view bytes) {
   if (incomplete_) return compact();
   if (size_ + bytes.size() > most_file_ && compact()) return true;
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -17,8 +17,8 @@
 class RespParser {
  public:
   static constexpr size_t kMostWords = 16;
-  static constexpr size_t kMostWord = 64 * 1024;  // the largest body
-  static constexpr size_t kMostBytes = kMostWord + 8 * 1024;
+  static constexpr size_t kMostWord = size_t{64} * 1024;  // the largest body
+  static constexpr size_t kMostBytes = kMostWord + size_t{8} * 1024;
 
   void feed(std::string_view bytes);
 
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -33,7 +33,7 @@
 
 // A message's part of the body of a call with several.
 std::string bundle_line(const Call& call);
-constexpr size_t kMostBundle = 64 * 1024;
+constexpr size_t kMostBundle = size_t{64} * 1024;
 
 class Upstream {
  public:
--- /dev/null
+++ b/relay/upstream_exchange.cpp
@@ -0,0 +1,472 @@
+#include "relay/upstream_exchange.h"
+
+#include <linux/sockios.h>
+#include <sys/ioctl.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+
+namespace turntally::relay {
+namespace {
+
+namespace http = boost::beast::http;
+using Error = boost::system::error_code;
+
+constexpr unsigned kHttpVersion = 11;  // 1.1, as Beast writes it
+constexpr Time kSecond = 1'000'000;
+
+constexpr Time kResponseTime =
+    300 * 1000;  // an answer that has begun is whole within this time, or it never will be
+constexpr Time kSilence = 2 * 1000;  // what a host sends behind an answer comes within this time
+constexpr Time kMaxRetryAfter = 3600 * kSecond;
+constexpr double kMaxReported = 1e9;
+constexpr std::string_view kVersion = "HTTP/1.";
+
+// A whole status line with 200, also where nothing behind it can be read. One that breaks off after its code
+// proves no delivery: the host counts a message as delivered with that line's last byte.
+bool says_ok(std::string_view head) {
+  constexpr std::string_view kStatus = " 200";
+  const size_t code = kVersion.size() + 1;
+  return head.starts_with(kVersion) && head.find('\n') != head.npos && head.size() > code + kStatus.size() &&
+         head.substr(code, kStatus.size()) == kStatus &&
+         std::string_view(" \r\n").find(head[code + kStatus.size()]) != std::string_view::npos;
+}
+
+std::optional<double> decimal(std::string_view text) {
+  double value = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value) || value < 0)
+    return {};
+  return value;
+}
+
+// A wait that is no number is none. One that outlasts every pending message binds those that come later; a
+// mistaken number must not bar an endpoint for good.
+Time parse_retry_after(std::string_view text) {
+  const double longest = static_cast<double>(kMaxRetryAfter);
+  return static_cast<Time>(std::ceil(std::min(decimal(text).value_or(0) * 1e6, longest)));
+}
+
+std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+
+// All of it or nothing: a field that cannot be read would pass for a limit or a load of zero.
+std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields) {
+  if (fields.empty() || text.empty()) return {};
+  std::vector<float> report(fields.size(), std::numeric_limits<float>::quiet_NaN());  // not reported
+  while (!text.empty()) {
+    const std::string_view item = text.substr(0, text.find(','));
+    text.remove_prefix(std::min(text.size(), item.size() + 1));
+    const size_t equals = item.find('=');
+    if (equals == std::string_view::npos) return {};
+    const auto field = std::find(fields.begin(), fields.end(), item.substr(0, equals));
+    if (field == fields.end()) continue;
+    const auto value = decimal(item.substr(equals + 1));
+    if (!value || *value > kMaxReported) return {};
+    report[static_cast<size_t>(field - fields.begin())] = static_cast<float>(*value);
+  }
+  return report;
+}
+
+}  // namespace
+
+bool is_silent(net::Stream& stream) {
+  char byte = 0;
+  ssize_t got = 0;
+  do {
+    got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (got < 0 && errno == EINTR);
+  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
+std::string bundle_line(const Call& call) {
+  return call.call_id + " " + (call.key.empty() ? "-" : call.key) + " " + std::to_string(call.body.size()) +
+         "\r\n" + call.body + "\r\n";
+}
+
+Upstream::Exchange::Exchange(Upstream& owner, std::vector<Call> calls, bool is_health_check)
+    : owner_(&owner),
+      name_(is_health_check, calls.front().id, calls.front().attempt),
+      endpoint_(calls.front().endpoint),
+      address_(calls.front().address),
+      is_health_check_(is_health_check),
+      stream_(owner.io_),
+      timer_(owner.io_) {
+  for (Call& call : calls) attempts_.push_back({std::move(call), {}});
+}
+
+bool Upstream::Exchange::has_attempt(uint64_t id, int number) const {
+  return !is_health_check_ && std::any_of(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
+    return !attempt.over && attempt.call.id == id && attempt.call.attempt == number;
+  });
+}
+
+std::optional<Upstream::InFlightCall> Upstream::Exchange::in_flight() const {
+  InFlightCall call{started_at_, endpoint_, {}};
+  for (const Attempt& attempt : attempts_) {
+    if (!attempt.over) call.attempts.push_back({attempt.call.id, attempt.call.attempt});
+  }
+  return is_health_check_ || call.attempts.empty() ? std::nullopt : std::optional(std::move(call));
+}
+
+void Upstream::Exchange::start() {
+  started_at_ = steady_now();
+  Time longest = 0;
+  Time shortest = std::numeric_limits<Time>::max();
+  for (const Attempt& attempt : attempts_) {
+    longest = std::max(longest, attempt.call.timeout);
+    if (!attempt.call.last) shortest = std::min(shortest, attempt.call.timeout);
+  }
+  deadline_ = started_at_ + std::min(longest, shortest);
+  if (auto idle = owner_->take_idle(endpoint_, address_)) {
+    stream_ = std::move(idle->stream);
+    return wait_for_silence(idle->since + kSilence);
+  }
+  connect();
+}
+
+void Upstream::Exchange::orphan() {
+  over_ = true;
+  owner_ = nullptr;
+  stream_.close();
+  timer_.cancel();
+}
+
+void Upstream::Exchange::wait_for_silence(Time ready) {
+  if (steady_now() >= ready) return reuse();
+  timer_.expires_at(at_time(ready));
+  timer_.async_wait([self = shared_from_this()](const Error& error) {
+    if (!error && !self->over_) self->reuse();
+  });
+}
+
+void Upstream::Exchange::reuse() {
+  reused_ = true;
+  if (!is_silent(stream_)) return connect_anew();
+  schedule_timer(deadline_);
+  write();
+}
+
+void Upstream::Exchange::connect_anew() {
+  reused_ = false;
+  stream_.close();
+  connect();
+}
+
+void Upstream::Exchange::connect() {
+  schedule_timer(std::min(deadline_, started_at_ + owner_->limits_.connect_timeout));
+  stream_.async_connect(address_, [self = shared_from_this()](const Error& error) {
+    if (self->over_) return;
+    if (error) return self->finish(policy::Outcome::kConnectFailed);
+    self->schedule_timer(self->deadline_);
+    self->write();
+  });
+}
+
+void Upstream::Exchange::schedule_timer(Time at) {
+  give_up_at_ = at;
+  at = std::min(at, write_by_);
+  for (const Attempt& attempt : attempts_) {
+    if (!attempt.over) at = std::min(at, started_at_ + attempt.call.timeout);
+  }
+  timer_at_ = at;
+  timer_.expires_at(at_time(at));
+  timer_.async_wait([self = shared_from_this()](const Error& error) {
+    if (!error && !self->over_) self->expire();
+  });
+}
+
+void Upstream::Exchange::expire() {
+  const Time now = steady_now();
+  if (now >= give_up_at_) return give_up(policy::Outcome::kTimeout);
+  const auto self = shared_from_this();
+  if (now >= write_by_) {
+    if (!written_) return finish(policy::Outcome::kNotStarted);
+    write_by_ = kNever;
+    if (has_unsent_bytes()) return give_up(policy::Outcome::kTimeout);
+  }
+  const bool timed_out = std::any_of(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
+    return !attempt.over && now >= started_at_ + attempt.call.timeout;
+  });
+  if (timed_out && written_) receive();
+  if (over_) return;
+  // What goes on to be written may run, each message of it.
+  if (timed_out && unsent_ && !written_) return give_up(policy::Outcome::kTimeout);
+  for (Attempt& attempt : attempts_) {
+    if (!attempt.over && now >= started_at_ + attempt.call.timeout)
+      end(attempt, outcome_without_response(policy::Outcome::kTimeout));
+  }
+  if (std::all_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.over; })) {
+    return give_up(policy::Outcome::kTimeout);
+  }
+  schedule_timer(give_up_at_);
+}
+
+policy::Outcome Upstream::Exchange::outcome_without_response(policy::Outcome outcome) const {
+  return response_started_ ? policy::Outcome::kMalformedResponse
+         : written_        ? outcome
+                           : policy::Outcome::kConnectFailed;
+}
+
+bool Upstream::Exchange::has_unsent_bytes() {
+  int bytes = 0;
+  return written_ && ::ioctl(stream_.socket().native_handle(), SIOCOUTQNSD, &bytes) == 0 && bytes > 0;
+}
+
+void Upstream::Exchange::give_up(policy::Outcome outcome) {
+  if (written_) receive();
+  if (over_) return;
+  Error ignored;
+  if (has_unsent_bytes()) stream_.socket().set_option(boost::asio::socket_base::linger(true, 0), ignored);
+  if (response_started_) return finish_malformed();
+  finish(outcome_without_response(outcome));
+}
+
+bool Upstream::Exchange::may_start(const Attempt& attempt) const {
+  if (attempt.over || steady_now() >= std::min(deadline_, started_at_ + attempt.call.timeout)) return false;
+  return is_health_check_ || owner_->may_start_(attempt.call);
+}
+
+void Upstream::Exchange::write() {
+  const auto self = shared_from_this();
+  std::vector<Attempt*> starting;
+  for (Attempt& attempt : attempts_) {
+    if (!may_start(attempt)) continue;
+    attempt.call_started = true;  // also where it is asked once more, for a new connection
+    starting.push_back(&attempt);
+  }
+  if (starting.empty()) {
+    reusable_ = true;
+    return finish(policy::Outcome::kNotStarted);
+  }
+  // May-start puts the calls on record, and meanwhile the endpoint may have written or closed the connection.
+  if (reused_ && !is_silent(stream_)) return connect_anew();
+  end_all_but(starting);
+  build_request(starting);
+  unsent_.emplace(request_);
+  for (const Attempt* attempt : starting) write_by_ = std::min(write_by_, attempt->call.start_by);
+  if (write_by_ < give_up_at_) schedule_timer(give_up_at_);
+  write_on();
+}
+
+void Upstream::Exchange::end_all_but(const std::vector<Attempt*>& starting) {
+  for (Attempt& attempt : attempts_) {
+    if (!attempt.over && std::find(starting.begin(), starting.end(), &attempt) == starting.end())
+      end(attempt, policy::Outcome::kNotStarted);
+  }
+}
+
+void Upstream::Exchange::build_request(const std::vector<Attempt*>& starting) {
+  is_batch_ = starting.size() > 1;
+  request_.version(kHttpVersion);
+  request_.method(is_health_check_ ? http::verb::get : http::verb::post);
+  request_.target(is_health_check_ ? "/-/healthy" : is_batch_ ? "/events/bundle" : "/events");
+  request_.set(http::field::host, address_.address().to_string());
+  if (is_health_check_) return;
+  for (Attempt* attempt : starting) attempt->sent = true;
+  if (is_batch_) {
+    for (const Attempt* attempt : starting) request_.body() += bundle_line(attempt->call);
+  } else {
+    Call& only = starting.front()->call;
+    request_.set("X-Call-Id", only.call_id);
+    if (!only.key.empty()) request_.set("Idempotency-Key", only.key);
+    request_.body() = std::move(only.body);
+  }
+  const Time remaining_ms = std::max<Time>(1, (deadline_ - steady_now()) / 1000);
+  request_.set("X-Budget", std::to_string(remaining_ms) + "m");
+  request_.prepare_payload();
+}
+
+void Upstream::Exchange::write_on() {
+  Error error;
+  while (!error && !unsent_->is_done()) {
+    if (steady_now() >= timer_at_) expire();
+    if (over_) return;
+    http::write_some(stream_, *unsent_, error);
+  }
+  if (error == boost::asio::error::would_block) {
+    return stream_.socket().async_wait(
+        tcp::socket::wait_write, [self = shared_from_this()](const Error& failed) {
+          if (self->over_) return;
+          failed ? self->finish(policy::Outcome::kConnectFailed) : self->write_on();
+        });
+  }
+  if (error) return finish(policy::Outcome::kConnectFailed);
+  written_ = true;
+  if (!is_health_check_) {
+    owner_->written_ += static_cast<size_t>(std::count_if(
+        attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.sent; }));
+  }
+  read();
+}
+
+void Upstream::Exchange::read() {
+  stream_.socket().async_wait(tcp::socket::wait_read, [self = shared_from_this()](const Error&) {
+    if (self->over_) return;
+    self->receive();
+    if (!self->over_) self->read();
+  });
+}
+
+void Upstream::Exchange::receive() {
+  while (!over_) {
+    Error error;
+    const size_t count = stream_.read_some(buffer_.prepare(kReadBytes), error);
+    if (error == boost::asio::error::would_block) return;
+    buffer_.commit(count);
+    bytes_read_ += count;
+    count > 0 ? on_bytes() : on_closed(error);
+  }
+}
+
+void Upstream::Exchange::on_bytes() {
+  if (!response_started_) {
+    response_started_ = true;
+    schedule_timer(std::min(deadline_, steady_now() + kResponseTime));
+  }
+  if (!parse() || bytes_read_ > kMaxResponseBytes) return finish_malformed();
+  if (parser_ && parser_->is_done()) on_response();
+}
+
+bool Upstream::Exchange::parse() {
+  while (true) {
+    if (!parser_) {
+      parser_.emplace();
+      parser_->eager(true);
+      parser_->body_limit(kMaxBodyBytes);
+    }
+    if (!first_line_parsed_) {
+      const std::string_view head(static_cast<const char*>(buffer_.data().data()), buffer_.size());
+      says_ok_ = says_ok(head);
+      if (!kVersion.starts_with(head.substr(0, kVersion.size()))) return false;
+    }
+    Error error;
+    const size_t taken = parser_->put(buffer_.data(), error);
+    first_line_parsed_ = first_line_parsed_ || taken > 0;
+    buffer_.consume(taken);
+    if (error && error != http::error::need_more) return false;
+    if (!parser_->is_done() || parser_->get().result_int() >= 200) return true;
+    parser_.reset();  // 1xx: the answer itself follows
+    first_line_parsed_ = false;
+    if (buffer_.size() == 0) return true;
+  }
+}
+
+void Upstream::Exchange::on_closed(const Error& error) {
+  if (!response_started_) return finish(policy::Outcome::kReset);
+  Error cut;
+  if (error == boost::asio::error::eof && parser_ && parser_->is_header_done()) {
+    parser_->put_eof(cut);
+    if (!cut && parser_->is_done()) return on_response();
+  }
+  finish_malformed();
+}
+
+void Upstream::Exchange::finish_malformed() {
+  final_ = says_ok_ && !is_batch_;
+  finish(final_ ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse);
+}
+
+bool Upstream::Exchange::parse_batch_response(std::string_view body) {
+  while (!body.empty()) {
+    const size_t end = std::min(body.find('\n'), body.size());
+    std::string_view line = body.substr(0, end);
+    body.remove_prefix(std::min(body.size(), end + 1));
+    if (line.ends_with('\r')) line.remove_suffix(1);
+    if (line.empty()) continue;
+    const size_t space = line.find(' ');
+    const auto attempt = std::find_if(attempts_.begin(), attempts_.end(), [&](const Attempt& p) {
+      return p.sent && !p.outcome && p.call.call_id == line.substr(0, space);
+    });
+    if (space == std::string_view::npos || attempt == attempts_.end()) return false;
+    const std::string_view what = line.substr(space + 1);
+    if (what == "done") {
+      attempt->outcome = policy::Outcome::kOk;
+    } else if (what == "failed") {
+      attempt->outcome = policy::Outcome::kError;
+    } else if (what == "busy") {
+      attempt->outcome = policy::Outcome::kRejected;
+    } else if (what == "void" || what == "used_up") {
+      attempt->outcome = policy::Outcome::kNotStarted;
+      attempt->finished = what == "void";
+    } else {
+      return false;
+    }
+  }
+  return std::all_of(attempts_.begin(), attempts_.end(),
+                     [](const Attempt& p) { return !p.sent || p.outcome; });
+}
+
+void Upstream::Exchange::on_response() {
+  const auto& answer = parser_->get();
+  reusable_ = parser_->keep_alive() && buffer_.size() == 0;
+  report_ = parse_report(view(answer["X-Load-Report"]), owner_->report_fields_);
+  switch (answer.result_int()) {
+    case 200:
+      if (is_batch_) {
+        if (!parse_batch_response(answer.body())) {
+          for (Attempt& attempt : attempts_) attempt.outcome.reset();
+          return finish_malformed();
+        }
+        retry_after_ = parse_retry_after(view(answer[http::field::retry_after]));
+        return finish(policy::Outcome::kOk);
+      }
+      final_ = true;
+      return finish(policy::Outcome::kOk);
+    case 410:
+      final_ = true;
+      return finish(policy::Outcome::kNotStarted);
+    case 429:
+      retry_after_ = parse_retry_after(view(answer[http::field::retry_after]));
+      return finish(policy::Outcome::kRejected);
+    case 503:
+      return finish(view(answer["X-Egress-Full"]) == "1" ? policy::Outcome::kNotStarted
+                                                         : policy::Outcome::kRejected);
+    case 504:
+      return finish(policy::Outcome::kNotStarted);
+    default:
+      return finish(policy::Outcome::kError);
+  }
+}
+
+void Upstream::Exchange::finish(policy::Outcome outcome) {
+  over_ = true;
+  timer_.cancel();
+  const auto self = shared_from_this();
+  owner_->exchanges_.erase(name());
+  if (reusable_) {
+    owner_->put_idle(endpoint_, std::move(stream_));
+  } else {
+    stream_.close();
+  }
+  // After silence the host's other idle connections are suspect: a call lost on one may have run, one that
+  // finds no new connection has not.
+  if (outcome == policy::Outcome::kTimeout || outcome == policy::Outcome::kReset ||
+      outcome == policy::Outcome::kConnectFailed) {
+    owner_->close_idle(endpoint_);
+  }
+  if (is_health_check_) {
+    return owner_->probed_(
+        {endpoint_, outcome == policy::Outcome::kOk, steady_now() - started_at_, std::move(report_)});
+  }
+  for (Attempt& attempt : attempts_) {
+    if (!attempt.over) end(attempt, attempt.outcome.value_or(outcome));
+  }
+}
+
+void Upstream::Exchange::end(Attempt& attempt, policy::Outcome outcome) {
+  attempt.over = true;
+  policy::AttemptEnded out;
+  out.id = attempt.call.id;
+  out.attempt = attempt.call.attempt;
+  out.endpoint = endpoint_;
+  out.outcome = outcome;
+  out.final = attempt.outcome ? outcome == policy::Outcome::kOk || attempt.finished : final_;
+  out.latency = steady_now() - started_at_;
+  out.retry_after = retry_after_;
+  out.load_report = report_;
+  owner_->ended_(out, attempt.call_started);
+}
+
+}  // namespace turntally::relay
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -3,11 +3,11 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "relay/clients.h"
 #include "relay/config.h"
 #include "relay/discovery.h"
 #include "relay/errors.h"
 #include "relay/journal.h"
+#include "relay/put_command.h"
 #include "relay/resp.h"
 #include "tests/support/inside.h"
 #include "tests/support/peers.h"
