--- a/relay/client_session.cpp
+++ b/relay/client_session.cpp
@@ -74,7 +74,7 @@
                                 {kReceivedAtKey, received_at_},
                                 {kCommandSinceKey, command_since_},
                                 {kHasSpokenKey, has_spoken_}};
-  owner_->hand_over_(state.dump() + "\n" + std::string(parser_.rest()), stream_.socket().native_handle());
+  owner_->hand_over_(state.dump() + "\n" + std::string(parser_.unread()), stream_.socket().native_handle());
   boost::system::error_code ignored;
   stream_.socket().close(ignored);
   state_ = State::kClosed;
@@ -109,7 +109,7 @@
   const Time max_linger = closing_after_answer_ ? kMaxLingerAfterError : kMaxLinger;
   const bool late = command_age >= kMaxCommandTime ||
                     (!has_spoken_ && command_age >= kMinFirstCommandTime && now - since_ >= kMaxSilence);
-  if (late && quiet()) {  // what has come is looked at first: this process may have been held up
+  if (late && quiet()) {  // what has come is looked at first: this process may have stood still
     refuse("-ERR the command took too long");
   } else if (state_ == State::kReading && !has_spoken_ && command_since_ == 0 &&
              now - since_ >= kMaxSilence && quiet()) {
--- a/relay/client_session.h
+++ b/relay/client_session.h
@@ -49,7 +49,7 @@
   // Nothing has come that was not read.
   bool quiet() const;
   // A close with bytes unread would be a reset, which may overtake the last answer, and they may come at any
-  // moment: the sending side ends, and what still comes is thrown away until the client ends too, or for a
+  // moment: the sending side ends, and what still comes is discarded until the client ends too, or for a
   // while. No request is taken after the end: its client submits it again elsewhere.
   void linger();
   void close();
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -47,11 +47,11 @@
   // Holds at most so many from now on: those beyond go as they can be spared.
   void limit(size_t max_sessions) { max_sessions_ = max_sessions; }
 
-  // Takes no new connection and gives those that are open away, each once it has been answered.
+  // Takes no new connection and sends those that are open to another process, each once it has been answered.
   void hand_over(HandOver hand_over);
   int listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
   bool answered() const;                                         // none waits for an answer to what was read
-  void add_inherited(const std::string& state, int descriptor);  // one that was given away
+  void add_inherited(const std::string& state, int descriptor);  // of the process before, with its state
 
  private:
   class Session;
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -176,19 +176,19 @@
   }
 }
 
-// What this process may hold may be less than it is told, and its own limit lower than it has to be: clients
-// would take what calls, the watch and the journal need.
-static size_t descriptors(size_t told) {
+// This process may have fewer descriptors than configured, and its own limit may be lower than it has to be:
+// clients would take what calls, the watch and the journal need.
+static size_t descriptors(size_t configured) {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return told;
-  const rlim_t wanted = std::min<rlim_t>(told, limit.rlim_max);
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return configured;
+  const rlim_t wanted = std::min<rlim_t>(configured, limit.rlim_max);
   if (limit.rlim_cur < wanted) {
     const rlimit raised{wanted, limit.rlim_max};
     if (::setrlimit(RLIMIT_NOFILE, &raised) == 0) limit.rlim_cur = wanted;
   }
-  if (limit.rlim_cur >= told) return told;
-  net::log::warn("few_descriptors", "told", told, "allowed", static_cast<size_t>(limit.rlim_cur), "action",
-                 "raise the process's limit of open files, or tell limits.sockets as it is");
+  if (limit.rlim_cur >= configured) return configured;
+  net::log::warn("few_descriptors", "told", configured, "allowed", static_cast<size_t>(limit.rlim_cur),
+                 "action", "raise the process's limit of open files, or tell limits.sockets as it is");
   return std::max(kFewestSockets / 2, static_cast<size_t>(limit.rlim_cur));
 }
 
--- a/relay/config.h
+++ b/relay/config.h
@@ -1,4 +1,4 @@
-// What a relay is told at its start: environment and JSON.
+// The configuration of a relay at its start: environment and JSON.
 #pragma once
 
 #include <cstdint>
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -43,12 +43,12 @@
   } else if (path == "/v1/relay/fence") {
     call.what = What::kFence;
   } else if (path.starts_with(kEndpoints)) {
-    const std::string_view rest = path.substr(kEndpoints.size());
-    const size_t slash = rest.find('/');
-    const std::string_view verb = slash == std::string_view::npos ? "" : rest.substr(slash + 1);
+    const std::string_view name_and_verb = path.substr(kEndpoints.size());
+    const size_t slash = name_and_verb.find('/');
+    const std::string_view verb = slash == std::string_view::npos ? "" : name_and_verb.substr(slash + 1);
     if (slash == 0 || (verb != "suspend" && verb != "resume")) return OperatorReply{404, "no such call\n"};
     call.what = verb == "suspend" ? What::kSuspend : What::kResume;
-    call.id = rest.substr(0, slash);
+    call.id = name_and_verb.substr(0, slash);
   } else {
     return OperatorReply{404, "no such call\n"};
   }
@@ -101,13 +101,13 @@
     http::async_read(stream_, buffer_, parser_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
       if (!error) return self->answer(self->handled());
-      // A time-out closes the stream, so that nothing can be said any more.
+      // A time-out closes the stream, so that nothing can be sent any more.
       if (error == boost::beast::error::timeout || error == http::error::end_of_stream) return self->close();
       self->answer({status_of(error), "unreadable call\n"});
     });
   }
 
-  // It is owed nothing: its call has not come whole, or its answer is written, and nothing is unread.
+  // It waits for no answer: its call has not come whole, or its answer is written, and nothing is unread.
   bool spare() const {
     Error error;
     return !answering_ && (stream_.socket().available(error) == 0 || error);
@@ -195,7 +195,7 @@
   });
 }
 
-// Callers that say nothing must not shut out one that does. What had come when the newcomer did is heard
+// Callers that send nothing must not shut out one that does. What had come when the newcomer did is read
 // first: this runs behind its handlers.
 void Control::make_room() {
   const auto last = callers_.empty() ? callers_.end() : std::prev(callers_.end());
--- a/relay/control.h
+++ b/relay/control.h
@@ -32,8 +32,8 @@
  public:
   using Handle = std::function<OperatorReply(const OperatorCall&)>;
 
-  // Most callers at once, unless told fewer. Beyond that the one that has kept its call back for longest
-  // goes, and until one has gone no other is let in.
+  // Most callers at once, unless fewer are given. Beyond that the one whose call has been incomplete for
+  // longest goes, and until one has gone no other is let in.
   static constexpr size_t kMostCallers = 16;
 
   // Listens at once; throws boost::system::system_error.
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -37,7 +37,7 @@
   return out;
 }
 
-// Whether an older list's entry undoes what was told: an id that has left comes back only with a new start.
+// Whether an older list's entry undoes a newer one: an id that has left comes back only with a new start.
 bool Directory::brings_back(const ListedHost& listed) const {
   const auto gone = gone_.find(listed.id);
   if (gone != gone_.end()) return listed.up_since <= gone->second;
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -48,7 +48,7 @@
 class Directory {
  public:
   // Takes a list over; returns what to tell the module, if it changes anything. An agent may be behind what
-  // was told before: its list then only moves hosts on, and brings none back.
+  // was listed before: its list then only moves hosts on, and brings none back.
   std::optional<policy::EndpointListChanged> apply(const HostList& list, Time now);
 
   // What is listed, read with other names for zones and kinds.
@@ -68,12 +68,12 @@
   const std::map<Endpoint, ListedHost>& hosts() const { return hosts_; }
   const std::set<int>& destinations() const { return destinations_; }
 
-  // For a host that is gone and has nothing out on it any more. Its id is kept for a while, against old
+  // For a host that is gone and has nothing in flight any more. Its id is remembered for a while, against old
   // lists.
   void forget(const Endpoint& endpoint);
   const std::map<std::string, Time>& gone() const { return gone_; }
   void add_gone(const std::string& id, Time now) { gone_[id] = now; }
-  std::vector<std::string> prune(Time now);  // the ids that are kept no longer
+  std::vector<std::string> prune(Time now);  // the ids that are remembered no longer
 
  private:
   bool brings_back(const ListedHost& listed) const;
@@ -83,7 +83,7 @@
   uint32_t last_handle_ = 0;
   std::map<std::string, Endpoint> handles_;
   std::map<Endpoint, ListedHost> hosts_;
-  std::map<std::string, Time> gone_;  // when that was told
+  std::map<std::string, Time> gone_;  // when it left the list
   std::set<int> destinations_;
   std::set<std::string> suspended_;
 };
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -13,17 +13,17 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kFirstPause{50};
-constexpr milliseconds kSilence{3000};  // an empty line is due every 2 s
-// What a silent watch misses counts as told 6 s after it fell silent, which may be 3 s before that is
+constexpr milliseconds kSilence{3000};  // an empty line comes every 2 s
+// What a silent watch misses counts as known 6 s after it fell silent, which may be 3 s before that is
 // noticed; a call may have to wait for 2 s.
 constexpr milliseconds kAfterSilence{1000};
-// After SIGHUP all counts as told 4 s later: a fleet that is 4 s of discovery's work, one after another, is
-// told in time, and 1 s of it waits at the end.
+// After SIGHUP all counts as known 4 s later: a fleet that is 4 s of discovery's work, one after another, is
+// served in time, and 1 s of it waits at the end.
 constexpr milliseconds kAfterMove{3000};
 constexpr milliseconds kLongestPushed{200};  // between calls to an agent that serves this relay only
 constexpr size_t kMostOld = 2;
-// Notices are answered at once, and each is due 0.3 s after its message's time: a connection that fell silent
-// has to be left well before. A platform that is slow is waited for longer with each try.
+// Notices are answered at once, and each must come within 0.3 s of its message's time: a connection that fell
+// silent has to be left well before. A platform that is slow is waited for longer with each try.
 constexpr milliseconds kPostTimeout{100};
 constexpr milliseconds kLongestPost{400};
 constexpr milliseconds kLongestPostPause{200};
@@ -32,12 +32,12 @@
 }  // namespace
 
 Watch::Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-             Told told, std::function<void()> current, const Pace& pace)
+             ListHandler on_list, std::function<void()> current, const Pace& pace)
     : io_(io),
       address_(address),
       names_(std::move(names)),
       revision_(std::move(revision)),
-      told_(std::move(told)),
+      on_list_(std::move(on_list)),
       current_(std::move(current)),
       pause_(io),
       pushed_(pace.pushed),
@@ -68,8 +68,8 @@
   }
   backoff_.reset();
   const auto now = std::chrono::steady_clock::now();
-  if (!told_by_) told_by_ = now + kAfterMove;  // further moves put that off no further
-  connect_later(std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(*told_by_ - now)));
+  if (!known_by_) known_by_ = now + kAfterMove;  // further moves put that off no further
+  connect_later(std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(*known_by_ - now)));
 }
 
 void Watch::connect_later(milliseconds most) {
@@ -114,7 +114,7 @@
 bool Watch::line(const std::string& text, bool on_current) {
   try {
     if (text.find_first_not_of(" \r\t") != std::string::npos) {
-      told_(parse_list(nlohmann::json::parse(text), names_));
+      on_list_(parse_list(nlohmann::json::parse(text), names_));
       listed_ = true;
     } else if (!listed_ && revision_() < 0) {  // nothing has changed: of what? That is no answer
       return std::chrono::steady_clock::now() - called_ < kSilence;
@@ -124,7 +124,7 @@
   }
   backoff_.reset();
   answered_ = answered_ || on_current;
-  if (on_current) told_by_.reset();
+  if (on_current) known_by_.reset();
   current_();
   return true;
 }
@@ -207,7 +207,7 @@
   if (post_) post_->close();
   post_.reset();
   queue_.clear();
-  out_ = 0;
+  in_flight_ = 0;
   pause_.cancel();
 }
 
@@ -221,7 +221,7 @@
   address_ = address;
   if (post_) post_->close();
   post_.reset();
-  out_ = 0;
+  in_flight_ = 0;
   pause_.cancel();
   back_off_ = kFirstPause;
   patience_ = kPostTimeout;
@@ -229,10 +229,10 @@
 }
 
 void Notices::proceed() {
-  if (out_ > 0 || queue_.empty()) return;
+  if (in_flight_ > 0 || queue_.empty()) return;
   std::string body;
-  for (; out_ < std::min(queue_.size(), kMostNotices); ++out_) {
-    const FinalAnswer& notice = queue_[out_];
+  for (; in_flight_ < std::min(queue_.size(), kMostNotices); ++in_flight_) {
+    const FinalAnswer& notice = queue_[in_flight_];
     nlohmann::json line = {{"id", notice.id}, {"state", notice.returned ? "returned" : "failed"}};
     if (notice.returned && notice.retry_after > 0) line["after_ms"] = (notice.retry_after + 999) / 1000;
     body += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
@@ -248,7 +248,7 @@
     post_.reset();
   }
   if (taken) {
-    for (; out_ > 0; --out_) {
+    for (; in_flight_ > 0; --in_flight_) {
       sent_(queue_.front().id);
       queue_.pop_front();
     }
@@ -256,8 +256,8 @@
     patience_ = kPostTimeout;
     return proceed();
   }
-  net::log::info("notices_not_taken", "count", out_, "silent", silent ? 1 : 0);
-  out_ = 0;
+  net::log::info("notices_not_taken", "count", in_flight_, "silent", silent ? 1 : 0);
+  in_flight_ = 0;
   if (silent) {  // it has waited already: on a new connection at once
     patience_ = std::min(2 * patience_, kLongestPost);
     return proceed();
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -1,4 +1,4 @@
-// The platform's side: the watch on the list of hosts, and the notices that end messages.
+// Discovery: the watch on the list of endpoints, and the notices that carry final answers to clients.
 #pragma once
 
 #include <array>
@@ -23,24 +23,24 @@
 namespace turntally::relay {
 
 // Follows the watch for as long as it lives: a connection that ends or falls silent is opened again.
-// Discovery may move to another address: what the old one has written still counts, so it is heard to its
+// Discovery may move to another address: what the old one has written still counts, so it is read to its
 // end.
 class Watch {
  public:
-  using Told = std::function<void(const HostList&)>;
+  using ListHandler = std::function<void(const HostList&)>;
   using Revision = std::function<int64_t()>;  // the one that is known; below 0: no list is
 
   // How calls are spread over time. Where lists are pushed the agent is this relay's own and answers at once,
-  // and what it has counts as told: then no call waits for the fleet's others.
+  // and what it has counts as known: then no call waits for the fleet's others.
   struct Pace {
     int callers = 1;  // that call the same discovery
     bool pushed = false;
     uint64_t seed = 0;
   };
 
-  // `current` is called after each line: what there was to tell has been told.
+  // `current` is called after each line: all that there was has been read.
   Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-        Told told, std::function<void()> current, const Pace& pace);
+        ListHandler on_list, std::function<void()> current, const Pace& pace);
   ~Watch();
 
   void move(const tcp::endpoint& address);
@@ -58,7 +58,7 @@
   tcp::endpoint address_;
   ListNames names_;
   Revision revision_;
-  Told told_;
+  ListHandler on_list_;
   std::function<void()> current_;
   boost::asio::steady_timer pause_;
   bool pushed_;
@@ -67,7 +67,7 @@
   std::chrono::steady_clock::time_point called_;  // when that was begun,
   bool answered_ = false;                         // and whether it was answered
   std::optional<std::chrono::steady_clock::time_point>
-      told_by_;                                   // since a move: the next call is made by then
+      known_by_;                                  // since a move: the next call is made by then
   bool listed_ = false;                           // a list has come
   std::vector<std::shared_ptr<net::Lines>> old_;  // of addresses before, until they end
 };
@@ -99,7 +99,7 @@
   std::chrono::milliseconds back_off_;
   std::chrono::milliseconds patience_;  // how long the next request may go without its answer
   std::deque<FinalAnswer> queue_;
-  size_t out_ = 0;  // notices at the front that are out
+  size_t in_flight_ = 0;  // notices at the front that are sent
   std::shared_ptr<Post> post_;
 };
 
--- a/relay/durable_clock.h
+++ b/relay/durable_clock.h
@@ -31,7 +31,7 @@
   Time from_steady(Time steady) const { return steady + offset_; }
   Time to_steady(Time durable) const { return durable - offset_; }
 
-  // To be kept in the folder. Empty: nothing is worth keeping.
+  // To be stored in the folder. Empty: there is nothing to store.
   std::string text() const;
 
  private:
--- a/relay/fence.cpp
+++ b/relay/fence.cpp
@@ -45,8 +45,8 @@
   }
   LeaseClaim out{lease, 0, false};
   const char* end = token.data() + token.size();
-  const auto [rest, error] = std::from_chars(token.data(), end, out.token);
-  if (error != std::errc{} || rest != end || out.token == 0) {
+  const auto [parsed_end, error] = std::from_chars(token.data(), end, out.token);
+  if (error != std::errc{} || parsed_end != end || out.token == 0) {
     throw ClaimUnreadable("X-Lease-Token is no whole number above 0");
   }
   return out;
--- a/relay/fence.h
+++ b/relay/fence.h
@@ -1,5 +1,5 @@
 // What a call says of the lease under which it is made, and the highest token seen of each lease: whoever
-// comes with a lower one has lost the lease to another. A core: the relay keeps what is raised.
+// comes with a lower one has lost the lease to another. It does no I/O: the relay stores what is raised.
 #pragma once
 
 #include <cstdint>
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -27,7 +27,7 @@
 
 using Error = boost::system::error_code;
 
-// For an owner that ends rather than hands over, and for either side that is held up: what the other one
+// For an owner that ends rather than hands over, and for either side that stands still: what the other one
 // drops then is its clients.
 constexpr auto kPeerTimeout = std::chrono::seconds(5);
 // Of the local socket's name, followed by the device and inode of the folder's lock. It is the program's name
@@ -149,7 +149,8 @@
   message.msg_control = control;
   message.msg_controllen = sizeof control;
   ssize_t got = -1;
-  bool reset = false;  // told once, where the other end left something unread; what it gave is still there
+  bool reset =
+      false;  // reported once, where the other end left something unread; what it sent is still there
   do {
     got = ::recvmsg(from.native_handle(), &message, MSG_CMSG_CLOEXEC);
   } while (got < 0 && (errno == EINTR || (errno == ECONNRESET && !std::exchange(reset, true))));
@@ -210,7 +211,7 @@
   });
 }
 
-// One that takes nothing any more must not hold this process up with each frame.
+// One that takes nothing any more must not block this process with each frame.
 bool Handover::send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor) {
   if (send(successor_, kind, text, descriptor)) return true;
   if (successor_.is_open()) successor_.close();
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -33,11 +33,11 @@
 struct HandoverFrame {
   enum Kind : char {
     kFolder = 'F',    // the right to the state folder
-    kCall = 'C',      // a call that is still out
+    kCall = 'C',      // a call that is still in flight
     kListener = 'L',  // where clients connect, if it is still open; the last that is waited for
     kClient = 'S',    // a client's connection
-    kEnded = 'E',     // a message's part in a call that was out
-    kCancel = 'X'     // from the successor: such a call is to be given up
+    kEnded = 'E',     // the end of a message's attempt in such a call
+    kCancel = 'X'     // from the successor: such a call is to be cancelled
   };
   Kind kind = kFolder;
   std::string text;
@@ -63,14 +63,14 @@
     return send(predecessor_, kind, text, -1);
   }
 
-  // Calls `on_successor` once, when a process asks to take over. It is then given parcels, kFolder first.
-  // Where the platform has no local sockets nobody can ask: the log says so in one line.
+  // Calls `on_successor` once, when a process connects to take over. It is then sent frames, kFolder first.
+  // Where the platform has no local sockets none can connect: the log says so in one line.
   void await_successor(std::function<void()> on_successor);
   bool send_folder_lock();
   bool send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor = -1);
   void listen_to_successor(FrameHandler handler) { listen_to(successor_, std::move(handler)); }
   bool has_successor() const { return successor_.is_open(); }
-  void drop_successor();  // it could not be given: the next that asks is waited for
+  void drop_successor();  // the hand-over failed: waits for the next one
 
  private:
   using Stream = boost::asio::posix::stream_descriptor;
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double kFilePart = 0.42;    // of the disk: the old and the new file together stay well under it
-constexpr double kAcceptPart = 0.75;  // of the file: the rest is for the records that follow
+constexpr double kAcceptPart = 0.75;  // of the file: the remainder is for the records that follow
 constexpr size_t kReserve = 512;      // for a message's attempts and its end
 constexpr size_t kHeader = 8;         // length and checksum
 constexpr std::chrono::seconds kOpenPatience{5};
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -1,4 +1,4 @@
-// What was taken on, on disk: an append-only file of checksummed records that outlasts the process.
+// The accepted messages on disk: an append-only file of checksummed records that outlasts the process.
 #pragma once
 
 #include <filesystem>
@@ -15,7 +15,7 @@
 struct RecordedAttempt {  // an attempt that may have run
   Time sent_at = 0;
   int zone = 0;           // by its place in the settings of then
-  std::string zone_name;  // empty: not told
+  std::string zone_name;  // empty: not recorded
 };
 
 struct Recovered {
@@ -25,7 +25,7 @@
   int begun = 0;                                // of these, those that began a call
   std::map<int, RecordedAttempt> possibly_run;  // attempts that may have run
   std::optional<FinalAnswer> unacknowledged_answer;
-  int64_t terms_number = 0;  // as told with it; 0: not told
+  int64_t terms_number = 0;  // of its DeliveryTerms; 0: not recorded
 };
 
 class Journal {
@@ -37,23 +37,23 @@
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // In the order in which they were taken on.
+  // In the order in which they were accepted.
   const std::vector<Recovered>& recovered() const { return recovered_; }
 
   // What was remembered last under each name.
   const std::map<std::string, std::string>& remembered() const { return remembered_; }
 
-  // False: there is no room or it could not be written, and the message must not be taken on. `terms_number`:
-  // what its class allows, by a number that the caller remembers.
+  // False: there is no room or it could not be written, and the message must not be accepted. `terms_number`:
+  // that of its DeliveryTerms.
   bool record_accepted(const SubmittedMessage& message, Time deadline, int64_t terms_number = 0);
   // False: it could not be written, and the call must not start.
   bool record_attempt(const std::string& id, int number, Time sent, int zone,
                       const std::string& zone_name = {});
   void record_not_started(const std::string& id, int number);
   // False: not written yet; write_pending() does it. Until then the next process knows nothing of the end.
-  bool record_final_answer(const FinalAnswer& notice);
+  bool record_final_answer(const FinalAnswer& answer);
   void record_acknowledged(const std::string& id);
-  // Writes what a full disk held back; false where there is still no room.
+  // Writes what a full disk did not take; false where there is still no room.
   bool write_pending() { return !incomplete_ || compact(); }
   // A fact beside the messages; the last value of a name counts, an empty one forgets it.
   void remember(const std::string& name, const std::string& value);
--- a/relay/message.h
+++ b/relay/message.h
@@ -1,4 +1,4 @@
-// A message as a client hands it in, and the notice that may end it.
+// A message as a client submits it, and the final answer that may end it.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +17,16 @@
   std::string message_class;
   std::string key;  // idempotency key; empty if none
   int destination = 0;
-  Time time_to_live = 0;  // how long it may still be delivered, when its last byte came
+  Time time_to_live = 0;  // how long it may still be delivered, in microseconds from its last byte
   std::string body;
   std::string tenant;         // whose share of the traffic it counts against; empty if none
-  uint64_t ordering_key = 0;  // for classes in order: messages of one number go in turn; 0: about nothing
+  uint64_t ordering_key = 0;  // for classes in order: messages of one number go one at a time; 0: none
 };
 
 struct FinalAnswer {
   std::string id;
   bool returned = false;  // else failed
-  Time retry_after = 0;   // with returned: when to come again; 0: not told
+  Time retry_after = 0;   // with returned: when to come again; 0: not given
 };
 
 // Whether an attempt with this outcome certainly did not run at its endpoint.
--- a/relay/metrics.cpp
+++ b/relay/metrics.cpp
@@ -22,11 +22,11 @@
 
 std::string Metrics::text() const {
   std::string out;
-  const auto by_class = [&](const std::string& name, uint64_t ClassMetrics::*figure) {
+  const auto by_class = [&](const std::string& name, uint64_t ClassMetrics::*count) {
     type(out, name, "counter");
-    for (const auto& [message_class, figures] : classes) {
-      out += "proxy_" + name + "{type=\"" + label(message_class) + "\"} " + std::to_string(figures.*figure) +
-             "\n";
+    for (const auto& [message_class, counts] : classes) {
+      out +=
+          "proxy_" + name + "{type=\"" + label(message_class) + "\"} " + std::to_string(counts.*count) + "\n";
     }
   };
   const auto one = [&](const std::string& name, const char* kind, uint64_t value) {
--- a/relay/metrics.h
+++ b/relay/metrics.h
@@ -11,13 +11,13 @@
 
 struct ClassMetrics {
   uint64_t success = 0;   // delivered
-  uint64_t overload = 0;  // refused or handed back
+  uint64_t overload = 0;  // rejected, before or after it was accepted
   uint64_t error = 0;     // failed
 };
 
 // Only where a registry is followed.
 struct RegistryMetrics {
-  double age_s = 0;    // since a member last said that the list is its newest; under 0: not yet
+  double age_s = 0;    // since a member last confirmed that the list is its newest; under 0: not yet
   bool held = false;   // a list waits to be confirmed
   uint64_t holds = 0;  // how often one did
   uint64_t moves = 0;  // to another member
--- a/relay/relay_dispatch.cpp
+++ b/relay/relay_dispatch.cpp
@@ -146,7 +146,7 @@
   if (!full.empty()) start_call(std::move(full));
 }
 
-// The message that lives longest goes first: an endpoint is held to the time of the first, and an answer
+// The message that lives longest goes first: an endpoint has the time of the first, and an answer
 // after it counts for none of them, though others have time left.
 void Relay::start_call(std::vector<Call> batch) {
   std::stable_sort(batch.begin(), batch.end(), [this](const Call& a, const Call& b) {
@@ -156,7 +156,7 @@
 }
 
 // The last look before a call's first byte. While its connection came up the endpoint may have been drained,
-// its destination may have asked another call to wait, or the message may be over.
+// a call to its destination may have returned a Retry-After, or the message may be over.
 bool Relay::may_start(const Call& call) {
   const PendingMessage* message = messages_.find(call.id);
   const Time now = steady_now();
@@ -187,8 +187,8 @@
   on_endpoint_idle(end.endpoint);
 }
 
-// An endpoint that is listed no more asked it for its destination; where endpoints are independent, for a
-// route that is gone.
+// The Retry-After of an endpoint that is listed no more is for its destination; where endpoints are
+// independent, for a route that is gone.
 void Relay::note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message) {
   if (end.retry_after <= 0) return;
   const ListedHost* host = directory_.find(end.endpoint);
--- a/relay/relay_submission.cpp
+++ b/relay/relay_submission.cpp
@@ -49,7 +49,7 @@
   submit(std::move(message), std::move(answer));
 }
 
-// The answer to a message that the policy is not asked about; counted.
+// The answer to a message that the policy does not see; counted.
 std::optional<std::string> Relay::rejection(const SubmittedMessage& message) {
   const int index = class_index(config_.settings, message.message_class);
   if (index < 0) return "-ERR unknown class";
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -26,7 +26,7 @@
   std::optional<std::vector<std::string>> next();
 
   // What has come and was not returned.
-  std::string_view rest() const { return std::string_view(buffer_).substr(read_); }
+  std::string_view unread() const { return std::string_view(buffer_).substr(read_); }
   bool empty() const { return read_ == buffer_.size(); }
 
  private:
--- a/relay/route_waits.h
+++ b/relay/route_waits.h
@@ -1,4 +1,4 @@
-// Waits that endpoints asked for by Retry-After, by route.
+// Waits that endpoints demanded by Retry-After, by route.
 #pragma once
 
 #include <algorithm>
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -1,5 +1,5 @@
-// Calls to hosts over kept-alive HTTP/1.1 connections, each with one message or a bundle of them. Nothing is
-// ever sent again by itself.
+// Calls to endpoints over persistent HTTP/1.1 connections, each with one message or a batch of them. Nothing
+// is ever sent again by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,8 +18,8 @@
 
 namespace turntally::relay {
 
-struct Call {       // one message's part in a call
-  uint64_t id = 0;  // the module's
+struct Call {       // one message's attempt in a call
+  uint64_t id = 0;  // the policy's number of the message
   int attempt = 0;
   Endpoint endpoint;
   tcp::endpoint address;
@@ -42,7 +42,7 @@
     Time idle = 0;           // a host closes a connection that has been idle for so long
     size_t most_open = 256;  // connections, with a call on them or idle
   };
-  // Asked right before a call's first byte, for each message: one that may no longer start ends as kMoot.
+  // Called right before a call's first byte, for each message: one that may not start ends as kNotStarted.
   using MayStart = std::function<bool(const Call&)>;
   using Ended = std::function<void(const policy::AttemptEnded&, bool began)>;  // began: MayStart allowed it
   using Probed = std::function<void(const policy::HealthCheckEnded&)>;
--- a/relay/upstream_exchange.cpp
+++ b/relay/upstream_exchange.cpp
@@ -233,7 +233,7 @@
   std::vector<Attempt*> starting;
   for (Attempt& attempt : attempts_) {
     if (!may_start(attempt)) continue;
-    attempt.call_started = true;  // also where it is asked once more, for a new connection
+    attempt.call_started = true;  // also where it is called once more, for a new connection
     starting.push_back(&attempt);
   }
   if (starting.empty()) {
