--- a/relay/directory.h
+++ b/relay/directory.h
@@ -1,4 +1,4 @@
-// The list of hosts as discovery tells it, and the handles under which the module knows them.
+// The list of endpoints as discovery sends it, and the handles under which the policy knows them.
 #pragma once
 
 #include <cstdint>
@@ -47,7 +47,7 @@
 // A machine that takes over another's address has an id of its own, so handles stand for ids, not addresses.
 class Directory {
  public:
-  // Takes a list over; returns what to tell the module, if it changes anything. An agent may be behind what
+  // Takes a list over; returns the event for the policy, if it changes anything. An agent may be behind what
   // was listed before: its list then only moves hosts on, and brings none back.
   std::optional<policy::EndpointListChanged> apply(const HostList& list, Time now);
 
@@ -59,7 +59,7 @@
   bool active(const Endpoint& endpoint) const;
   bool known(int destination) const { return destinations_.contains(destination); }  // had a host at any time
   void add_destination(int destination) { destinations_.insert(destination); }
-  // Taken out by an operator: whatever is listed, it is not active until it is put back.
+  // Suspended by an operator: whatever is listed, it is not active until it is resumed.
   void suspend(const std::string& id) { suspended_.insert(id); }
   void resume(const std::string& id) { suspended_.erase(id); }
   bool suspended(const std::string& id) const { return suspended_.contains(id); }
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -55,7 +55,7 @@
 
   bool taken_over() const { return predecessor_.is_open(); }
 
-  // From the process before: the next frame, waited for unless that process is gone or stalls; and all that
+  // From the predecessor: the next frame, waited for unless that process is gone or stalls; and all that
   // come later.
   std::optional<HandoverFrame> next_frame();
   void listen_to_predecessor(FrameHandler handler) { listen_to(predecessor_, std::move(handler)); }
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -39,7 +39,7 @@
  public:
   struct Limits {
     Time connect_timeout = 0;
-    Time idle = 0;           // a host closes a connection that has been idle for so long
+    Time idle = 0;           // an endpoint closes a connection that is idle for so long
     size_t most_open = 256;  // connections, with a call on them or idle
   };
   // Called right before a call's first byte, for each message: one that may not start ends as kNotStarted.
