--- a/controller/task.h
+++ b/controller/task.h
@@ -11,8 +11,8 @@
 
 #include "controller/config.h"
 #include "controller/errors.h"
-#include "lease/registry_caller.h"
 #include "lease/lease_client.h"
+#include "lease/registry_caller.h"
 #include "net/clock.h"
 #include "net/http.h"
 
--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -1,9 +1,8 @@
 #include "lease/lease_client.h"
 
-#include <time.h>
-
 #include <algorithm>
 #include <boost/asio/post.hpp>
+#include <ctime>
 #include <limits>
 #include <nlohmann/json.hpp>
 #include <utility>
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -83,52 +83,54 @@
 }
 
 std::vector<json> ListGuard::told(const json& line, const std::string& source, Millis now) {
-  int64_t revision = 0;
+  UnconfirmedList list;
+  list.source = source;
+  list.since = now;
   bool complete = false;
-  std::string identity;
-  Members named;
   parse_or_throw([&] {
-    revision = line.at("revision");
+    list.revision = line.at("revision");
     complete = line.at("complete");
-    identity = line.value("identity", "");
-    named = by_id(line.at("members"));
-    for (const auto& [id, member] : named) {
+    list.identity = line.value("identity", "");
+    list.members = by_id(line.at("members"));
+    for (const auto& [id, member] : list.members) {
       if (!member.at("phase").is_string()) throw ListUnreadable("phase of '" + id + "' is no text");
     }
   });
-  const json& members = line.at("members");
+  return complete ? on_complete_list(std::move(list)) : on_changes(line, list);
+}
 
-  if (!complete) {
-    // On from the list that is held, or from the one that is known.
-    if (unconfirmed_ && unconfirmed_->source == source) {
-      merge(unconfirmed_->members, members);
-      unconfirmed_->revision = std::max(unconfirmed_->revision, revision);
-      return drains(named);
-    }
-    if (identity != identity_ || revision < revision_) return drains(named);
-    unconfirmed_.reset();  // a member goes on from what is known
-    if (members.empty() && revision == revision_) return {};
-    revision_ = revision;
-    merge(known_, members);
-    return {line};
+// Changes follow the list that waits for confirmation, or the known one.
+std::vector<json> ListGuard::on_changes(const json& line, const UnconfirmedList& changes) {
+  const json& members = line.at("members");
+  if (unconfirmed_ && unconfirmed_->source == changes.source) {
+    merge(unconfirmed_->members, members);
+    unconfirmed_->revision = std::max(unconfirmed_->revision, changes.revision);
+    return drains(changes.members);
   }
+  if (changes.identity != identity_ || changes.revision < revision_) return drains(changes.members);
+  unconfirmed_.reset();  // a member goes on from what is known
+  if (members.empty() && changes.revision == revision_) return {};
+  revision_ = changes.revision;
+  merge(known_, members);
+  return {line};
+}
 
-  const bool same = identity == identity_;
-  if (same && revision < revision_) return drains(named);  // of a member that is behind
-  UnconfirmedList list{source, now, revision, identity, named};
-  if (!suspicious(named, identity)) return accept(std::move(list));
+std::vector<json> ListGuard::on_complete_list(UnconfirmedList list) {
+  const bool is_stale = list.identity == identity_ && list.revision < revision_;
+  if (is_stale) return drains(list.members);
+  if (!suspicious(list.members, list.identity)) return accept(std::move(list));
+  const bool same_identity = unconfirmed_ && unconfirmed_->identity == list.identity;
   // Another member, with the same list or a later one of it.
-  if (unconfirmed_ && unconfirmed_->source != source && unconfirmed_->identity == identity &&
-      revision >= unconfirmed_->revision) {
+  if (same_identity && unconfirmed_->source != list.source && list.revision >= unconfirmed_->revision) {
     return accept(std::move(list));
   }
-  if (unconfirmed_ && unconfirmed_->identity == identity) {
-    list.since = unconfirmed_->since;  // its time runs on, whoever tells it again
+  if (same_identity) {
+    list.since = unconfirmed_->since;  // its time runs on, whichever member repeats it
   } else {
     ++unconfirmed_total_;
   }
   unconfirmed_ = std::move(list);
-  return drains(named);
+  return drains(unconfirmed_->members);
 }
 
 std::vector<json> ListGuard::tick(Millis now) {
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -55,6 +55,8 @@
 
   bool suspicious(const std::map<std::string, nlohmann::json>& members, const std::string& identity) const;
   std::vector<nlohmann::json> drains(const std::map<std::string, nlohmann::json>& members);
+  std::vector<nlohmann::json> on_changes(const nlohmann::json& line, const UnconfirmedList& changes);
+  std::vector<nlohmann::json> on_complete_list(UnconfirmedList list);
   std::vector<nlohmann::json> accept(UnconfirmedList list);
   static void merge(std::map<std::string, nlohmann::json>& into, const nlohmann::json& members);
 
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -35,7 +35,7 @@
       return {ApplyResult::Kind::kFenced, data_.leases.current_token(command.fence), command.fence};
     }
   }
-  const ApplyResult result = dispatch(index, revision, command);
+  ApplyResult result = dispatch(index, revision, command);
   // A lease call is safe to repeat and must see the table as it is: its result is not remembered.
   if (command.kind != Command::Kind::kLease) remember_result(data_, command.request, result);
   return result;
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -34,6 +34,7 @@
 // Where each zone of before stands in the new order.
 std::vector<int> map_zones(const std::vector<std::string>& before, const std::vector<std::string>& next) {
   std::vector<int> zones;
+  zones.reserve(before.size());
   for (const std::string& zone : before) zones.push_back(index_of(zone, next));
   return zones;
 }
@@ -207,14 +208,17 @@
          (!clients_ || clients_->ended());
 }
 
+void Relay::finish_clients() {
+  if (clients_finished_) return;
+  clients_finished_ = true;
+  if (clients_) clients_->finish();
+}
+
 void Relay::wait_for_end() {
   if (handed_over_ && !handover_.has_successor()) cancel_all_calls();
   if (handed_over_and_done()) return io_.stop();
   const Time age = stopping_since_ == 0 ? 0 : steady_now() - stopping_since_;
-  if (age >= kServeOn && !clients_finished_ && !handed_over_) {
-    clients_finished_ = true;
-    if (clients_) clients_->finish();
-  }
+  if (age >= kServeOn && !handed_over_) finish_clients();
   if (clients_finished_ && idle()) return io_.stop();
   const bool calls_ended = age >= kCallsEnd;
   if (calls_ended) {  // a request that was read has its answer
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -88,6 +88,7 @@
   void note_excess_messages();
   std::shared_ptr<policy::Settings> policy_settings() const;
   Time calls_end_by() const;
+  void finish_clients();
   void wait_for_end();
   bool handed_over_and_done() const;
   bool idle() const;
--- a/relay/route_waits.h
+++ b/relay/route_waits.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include <algorithm>
-#include <compare>
 #include <map>
+#include <tuple>
 
 #include "relay/message.h"
 
@@ -13,7 +13,10 @@
 struct Route {
   int destination = 0;
   Endpoint endpoint;  // empty: all of the destination
-  auto operator<=>(const Route&) const = default;
+  bool operator==(const Route&) const = default;
+  bool operator<(const Route& other) const {
+    return std::tie(destination, endpoint) < std::tie(other.destination, other.endpoint);
+  }
 };
 
 // Owns the end of each route's wait, in microseconds of the steady clock. A wait never becomes shorter.
--- a/relay/upstream_exchange.cpp
+++ b/relay/upstream_exchange.cpp
@@ -45,7 +45,7 @@
 // A wait that is no number is none. One that outlasts every pending message binds those that come later; a
 // mistaken number must not bar an endpoint for good.
 Time parse_retry_after(std::string_view text) {
-  const double longest = static_cast<double>(kMaxRetryAfter);
+  const auto longest = static_cast<double>(kMaxRetryAfter);
   return static_cast<Time>(std::ceil(std::min(decimal(text).value_or(0) * 1e6, longest)));
 }
 
