--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -43,12 +43,12 @@
   uint64_t number = 0;
   Token token = 0;
 };
-// From here on acts may begin, with this token; `record` is what the holders before have left.
+// From here on acts may begin, with this token; `checkpoint` is what the holders before have left.
 struct LeaseAcquired {
   Token token = 0;
   std::string checkpoint;
 };
-// Nothing may begin any more; what is out should be cut short. `why`: "margin", "fenced", "released",
+// Nothing may begin any more; what is out should be cut short. `reason`: "margin", "fenced", "released",
 // "closed".
 struct LeaseLost {
   Token token = 0;
--- a/policy/message_ordering.h
+++ b/policy/message_ordering.h
@@ -2,7 +2,7 @@
 //
 // Messages of one key go one at a time, in the order of arrival. After a call whose outcome is unknown, the
 // other messages of the key wait until the call is over and a pause has passed; after a final answer without
-// success they wait until the client has seen it.
+// success they wait for a short pause; relay/message_ordering.h waits until the client has acknowledged it.
 #pragma once
 
 #include <cstdint>
--- a/policy/token_bucket.h
+++ b/policy/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket: tokens refill with time up to a burst, and each send takes one.
+// A token bucket: tokens refill with time up to a burst, and each send takes its work, mostly one.
 //
 // Rates are in tokens a second. The balance may be negative: then the next whole token comes later.
 #pragma once
--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-net::HttpReply Client::ask(net::HttpCall call) {
+net::HttpReply Client::send(net::HttpCall call) {
   if (call.method != "GET" && !call.fields.contains("Idempotency-Key")) {
     call.fields["Idempotency-Key"] = net::hex(seed());
   }
@@ -106,7 +106,7 @@
 }
 
 json Client::get(net::HttpCall call) {
-  const net::HttpReply reply = ask(std::move(call));
+  const net::HttpReply reply = send(std::move(call));
   if (reply.status != 200) throw refused_by(reply);
   json out = json::parse(reply.body, nullptr, false);
   if (!out.is_object())
@@ -122,10 +122,10 @@
     boost::asio::io_context io;
     std::shared_ptr<net::Lines> stream;
     const auto read = [&](const std::string& one) {
-      const json told = json::parse(one, nullptr, false);
-      if (told.is_object()) {
-        revision = told.value("revision", revision);
-        identity = told.value("identity", identity);
+      const json parsed = json::parse(one, nullptr, false);
+      if (parsed.is_object()) {
+        revision = parsed.value("revision", revision);
+        identity = parsed.value("identity", identity);
       }
       backoff.reset();
       more = line(one);
--- a/registry/client.h
+++ b/registry/client.h
@@ -22,7 +22,7 @@
   // Until some member gives an answer other than 503. Writes get an Idempotency-Key unless they have one.
   // Where none came in time it throws NoMember, Refused with the last 503's words, or OutcomeUnknown for a
   // write that may have been applied.
-  net::HttpReply ask(net::HttpCall call);
+  net::HttpReply send(net::HttpCall call);
   // The same, and anything but 200 is thrown as Refused. AnswerUnreadable where it holds no JSON object.
   nlohmann::json get(net::HttpCall call);
   // Follows the list from member to member for as long as `line` returns true; each is a line of the watch.
--- a/registry/list_commands.h
+++ b/registry/list_commands.h
@@ -1,5 +1,6 @@
-// What each kind of command does to the list, apart from mirroring.h's. Each takes the command's revision and
-// returns its result; where that is not kApplied nothing has changed. No state of its own.
+// What each kind of command does to the state, apart from mirroring.h's. Those that change the list take the
+// command's revision. Each returns its result; where that is not kApplied nothing has changed. No state of
+// its own.
 #pragma once
 
 #include "registry/state_data.h"
--- a/registry/list_follower.cpp
+++ b/registry/list_follower.cpp
@@ -33,7 +33,7 @@
       pause_(io),
       tick_(io),
       member_index_(net::Random(settings_.seed, 5).below(settings_.members.size())) {
-  if (!saved.is_null()) listener_.told(guard_.restore(saved));
+  if (!saved.is_null()) listener_.on_list(guard_.restore(saved));
   connect_in(backoff_.next());
   tick();
 }
@@ -104,7 +104,7 @@
   try {
     const nlohmann::json parsed = nlohmann::json::parse(text);
     contact_age = parsed.value("heard_ms", Millis{0});
-    heed(guard_.told(parsed, net::text_of(at()), now_ms()));
+    heed(guard_.on_line(parsed, net::text_of(at()), now_ms()));
   } catch (const std::exception& error) {
     const auto* known = dynamic_cast<const ListUnreadable*>(&error);
     net::log::failed(net::log::Level::kWarn, "list_unreadable", known ? *known : ListUnreadable(error.what()),
@@ -122,7 +122,7 @@
 
 void ListFollower::heed(const std::vector<nlohmann::json>& lines) {
   if (lines.empty()) return;
-  for (const nlohmann::json& one : lines) listener_.told(one);
+  for (const nlohmann::json& one : lines) listener_.on_list(one);
   if (listener_.keep) listener_.keep(guard_.save());
 }
 
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -26,12 +26,12 @@
 class ListFollower {
  public:
   struct Listener {
-    std::function<void(const nlohmann::json& line)> told;   // a list to heed, as discovery writes it
-    std::function<void()> current;                          // all that there was to tell has been told
-    std::function<void(const nlohmann::json& saved)> keep;  // what is known has changed; may be empty
+    std::function<void(const nlohmann::json& line)> on_list;  // a list to apply, in discovery's form
+    std::function<void()> current;                            // every change so far has been passed on
+    std::function<void(const nlohmann::json& saved)> keep;    // what is known has changed; may be empty
   };
 
-  // `saved`: what `keep` gave last; null where there is none. It is told at once.
+  // `saved`: what `keep` gave last; null where there is none. It is passed on at once.
   ListFollower(boost::asio::io_context& io, ListFollowerSettings settings, const nlohmann::json& saved,
                Listener listener);
   ~ListFollower();
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -82,7 +82,7 @@
   return {line_of(revision_, true, identity_, std::move(all))};
 }
 
-std::vector<json> ListGuard::told(const json& line, const std::string& source, Millis now) {
+std::vector<json> ListGuard::on_line(const json& line, const std::string& source, Millis now) {
   UnconfirmedList list;
   list.source = source;
   list.since = now;
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -28,10 +28,10 @@
 
   // A line of a watch, as discovery writes them, from a source that has a name. Returns the lines to heed, in
   // order; throws ListUnreadable on what is no line: nothing of it is heeded.
-  std::vector<nlohmann::json> told(const nlohmann::json& line, const std::string& source, Millis now);
+  std::vector<nlohmann::json> on_line(const nlohmann::json& line, const std::string& source, Millis now);
   std::vector<nlohmann::json> tick(Millis now);
 
-  // What to ask for; -1: the whole list.
+  // What to request; -1: the whole list.
   int64_t revision() const { return revision_; }
   const std::string& identity() const { return identity_; }
   const std::map<std::string, nlohmann::json>& known() const { return known_; }  // by id
@@ -39,8 +39,8 @@
   const std::string& holder() const { return unconfirmed_->source; }  // the source of the list that is held
   uint64_t held_total() const { return unconfirmed_total_; }
 
-  // To keep on disk. restore() throws ListUnreadable on what is none; it is told as a list like any other.
-  // With an empty identity it may be of any list.
+  // To keep on disk. restore() throws ListUnreadable on what is none; it is passed on as a list like any
+  // other. With an empty identity it may be of any list.
   nlohmann::json save() const;
   nlohmann::json restore(const nlohmann::json& saved);
 
--- a/relay/relay_endpoints.cpp
+++ b/relay/relay_endpoints.cpp
@@ -14,7 +14,7 @@
     if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
   }
   registry::ListFollower::Listener listener;
-  listener.told = [this](const nlohmann::json& line) { on_registry_list(line); };
+  listener.on_list = [this](const nlohmann::json& line) { on_registry_list(line); };
   listener.current = [this] { open(); };
   follower_.emplace(io_, *config_.fleet,
                     nlohmann::json{{"revision", list_identity_.empty() ? -1 : directory_.revision()},
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -114,19 +114,19 @@
 
 ListGuard knowing(int n) {
   ListGuard guard({0.3, 2, 30'000});
-  guard.told(line(10, true, many(n)), "a", 0);
+  guard.on_line(line(10, true, many(n)), "a", 0);
   return guard;
 }
 
 TEST(ListGuard, HoldsAListThatTakesTooMuchAwayUntilASecondMemberSaysIt) {
   ListGuard guard = knowing(10);
-  EXPECT_EQ(guard.told(line(11, true, many(7)), "a", 1000).size(), 1U);
-  EXPECT_TRUE(guard.told(line(12, true, many(3)), "a", 2000).empty());
+  EXPECT_EQ(guard.on_line(line(11, true, many(7)), "a", 1000).size(), 1U);
+  EXPECT_TRUE(guard.on_line(line(12, true, many(3)), "a", 2000).empty());
   EXPECT_TRUE(guard.holds());
-  EXPECT_TRUE(guard.told(line(12, true, many(3)), "a", 2500).empty());  // the same one again says no more
+  EXPECT_TRUE(guard.on_line(line(12, true, many(3)), "a", 2500).empty());  // the same one again says no more
   EXPECT_EQ(guard.known().size(), 7U);
   EXPECT_EQ(guard.revision(), 11);
-  ASSERT_EQ(guard.told(line(13, true, many(3)), "b", 3000).size(), 1U);
+  ASSERT_EQ(guard.on_line(line(13, true, many(3)), "b", 3000).size(), 1U);
   EXPECT_FALSE(guard.holds());
   EXPECT_EQ(guard.known().size(), 3U);
 }
@@ -134,9 +134,9 @@
 TEST(ListGuard, TakesAnEmptyListOrAnotherNameAfterItsTimeOnly) {
   for (const json& odd : {line(12, true, {}), line(500, true, many(10), "two")}) {
     ListGuard guard = knowing(10);
-    EXPECT_TRUE(guard.told(odd, "a", 1000).empty());
+    EXPECT_TRUE(guard.on_line(odd, "a", 1000).empty());
     EXPECT_TRUE(guard.tick(30'999).empty());
-    EXPECT_TRUE(guard.told(odd, "a", 20'000).empty());  // its time runs on
+    EXPECT_TRUE(guard.on_line(odd, "a", 20'000).empty());  // its time runs on
     EXPECT_EQ(guard.tick(31'000).size(), 1U);
     EXPECT_EQ(guard.revision(), odd["revision"]);
   }
@@ -145,13 +145,14 @@
 TEST(ListGuard, HeedsDrainsAtOnceWhoeverTellsThem) {
   ListGuard guard = knowing(10);
   std::vector<json> few = {endpoint("e1", "leaving"), endpoint("e2")};
-  auto told = guard.told(line(3, true, few, "two"), "b", 1000);  // of another list, and an older one
+  auto told = guard.on_line(line(3, true, few, "two"), "b", 1000);  // of another list, and an older one
   ASSERT_EQ(told.size(), 1U);
   EXPECT_FALSE(told[0]["complete"].get<bool>());
   ASSERT_EQ(told[0]["members"].size(), 1U);
   EXPECT_EQ(told[0]["members"][0]["id"], "e1");
   EXPECT_EQ(told[0]["revision"], 10);
-  told = guard.told(line(9, false, {endpoint("e4", "left"), endpoint("e3")}), "c", 1000);  // a member behind
+  told =
+      guard.on_line(line(9, false, {endpoint("e4", "left"), endpoint("e3")}), "c", 1000);  // a member behind
   ASSERT_EQ(told.size(), 1U);
   EXPECT_EQ(told[0]["members"][0]["id"], "e4");
   EXPECT_EQ(guard.revision(), 10);
@@ -159,8 +160,8 @@
 
 TEST(ListGuard, LetsGoOfWhatItHoldsWhenAMemberGoesOnFromWhatIsKnown) {
   ListGuard guard = knowing(10);
-  EXPECT_TRUE(guard.told(line(700, true, many(10), "two"), "a", 1000).empty());
-  EXPECT_TRUE(guard.told(line(10, false, {}), "b", 2000).empty());
+  EXPECT_TRUE(guard.on_line(line(700, true, many(10), "two"), "a", 1000).empty());
+  EXPECT_TRUE(guard.on_line(line(10, false, {}), "b", 2000).empty());
   EXPECT_FALSE(guard.holds());
   EXPECT_TRUE(guard.tick(90'000).empty());
   EXPECT_EQ(guard.identity(), "one");
@@ -173,8 +174,8 @@
   EXPECT_EQ(again.revision(), 10);
   EXPECT_EQ(again.identity(), "one");
   const json cut = json::parse(R"({"revision":11,"complete":false,"members":[{"id":"x"}]})");
-  EXPECT_THROW(guard.told(cut, "a", 0), registry::ListUnreadable);
-  EXPECT_THROW(guard.told(json::array(), "a", 0), registry::ListUnreadable);
+  EXPECT_THROW(guard.on_line(cut, "a", 0), registry::ListUnreadable);
+  EXPECT_THROW(guard.on_line(json::array(), "a", 0), registry::ListUnreadable);
   EXPECT_THROW(guard.restore(json::object()), registry::ListUnreadable);
   EXPECT_EQ(guard.known().size(), 10U);
 }
--- a/tests/relay/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -348,7 +348,7 @@
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:9")};
   registry::ListFollower::Listener listener;
-  listener.told = [](const nlohmann::json&) {};
+  listener.on_list = [](const nlohmann::json&) {};
   listener.current = [] {};
   registry::ListFollower follower(turn.io, settings, nullptr, listener);
   turn.run(milliseconds(510), [&] { follower.close(); });  // its tick is due as well
@@ -376,7 +376,7 @@
   settings.callers = 1000;
   settings.seed = 43;
   registry::ListFollower::Listener listener;
-  listener.told = [](const nlohmann::json&) {};
+  listener.on_list = [](const nlohmann::json&) {};
   listener.current = [] {};
   registry::ListFollower follower(io_, settings, nullptr, listener);
   runner_ = std::thread([this] { io_.run(); });
@@ -396,7 +396,7 @@
   settings.callers = 1000;
   settings.seed = 43;
   registry::ListFollower::Listener listener;
-  listener.told = [this](const nlohmann::json& list) { told_ = list.at("revision"); };
+  listener.on_list = [this](const nlohmann::json& list) { told_ = list.at("revision"); };
   listener.current = [this] { ++current_; };
   registry::ListFollower follower(io_, settings, nullptr, listener);
   runner_ = std::thread([this] { io_.run(); });
