--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -15,10 +15,10 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr Time kLongestWait = 1'000'000;  // the timer's clock stands still while the machine sleeps
-constexpr milliseconds kRecord{2000};
+constexpr Time kMaxTimerSpan = 1'000'000;  // the timer's clock stands still while the machine sleeps
+constexpr milliseconds kCheckpointTimeout{2000};
 
-const char* name_of(LeaseRequest::Kind kind) {
+const char* call_name(LeaseRequest::Kind kind) {
   switch (kind) {
     case LeaseRequest::Kind::kCampaign:
       return "campaign";
@@ -30,36 +30,36 @@
   return "";
 }
 
-milliseconds in_ms(Time span) { return milliseconds(span / 1000); }
+milliseconds to_ms(Time span) { return milliseconds(span / 1000); }
 
-json body_of(const net::HttpReply& reply) {
+json parse_body(const net::HttpReply& reply) {
   json body = json::parse(reply.body, nullptr, false);
   return body.is_object() ? body : json::object();
 }
 
-// An answer that says anything else than it should is none.
-LeaseReply parsed(const std::optional<net::HttpReply>& reply, size_t& place) {
-  LeaseReply out;
-  if (!reply) return out;
+// Interprets a reply of the registry. One with missing or malformed fields counts as kFailed.
+LeaseReply parse_reply(const std::optional<net::HttpReply>& reply, size_t& queue_place) {
+  LeaseReply result;
+  if (!reply) return result;
   try {
-    const json body = body_of(*reply);
+    const json body = parse_body(*reply);
     const std::string code = body.value("code", "");
     if (reply->status == 200) {
-      out.token = body.at("token");
-      out.release_requested = body.value("asked_back", false);
-      out.checkpoint = body.value("record", "");
-      place = body.value("place", size_t{0});
-      out.kind = body.at("outcome") == "waits" ? LeaseReply::Kind::kQueued : LeaseReply::Kind::kGranted;
-    } else if (code == "lease_fenced" || code == "lease_unknown") {  // either way it holds nothing
-      out.kind = LeaseReply::Kind::kFenced;
+      result.token = body.at("token");
+      result.release_requested = body.value("asked_back", false);
+      result.checkpoint = body.value("record", "");
+      queue_place = body.value("place", size_t{0});
+      result.kind = body.at("outcome") == "waits" ? LeaseReply::Kind::kQueued : LeaseReply::Kind::kGranted;
+    } else if (code == "lease_fenced" || code == "lease_unknown") {  // neither is a holder
+      result.kind = LeaseReply::Kind::kFenced;
     } else if (code == "lease_refused") {
-      out.retry_after = body.value("wait_ms", Time{0}) * 1000;
-      out.kind = LeaseReply::Kind::kRefused;
+      result.retry_after = body.value("wait_ms", Time{0}) * 1000;
+      result.kind = LeaseReply::Kind::kRefused;
     }
   } catch (const json::exception&) {
     return {};
   }
-  return out;
+  return result;
 }
 
 }  // namespace
@@ -69,22 +69,22 @@
       settings_(settings),
       listener_(std::move(listener)),
       state_(settings.holder),
-      calls_(io, settings.members, settings.holder.seed),
+      caller_(io, settings.members, settings.holder.seed),
       timer_(io),
-      closing_(io) {}
+      close_timer_(io) {}
 
 LeaseClient::~LeaseClient() { *alive_ = false; }
 
 Time LeaseClient::now() const {
-  timespec at{};
-  ::clock_gettime(CLOCK_BOOTTIME, &at);
-  const Time true_time = static_cast<Time>(at.tv_sec) * 1'000'000 + at.tv_nsec / 1000;
+  timespec time{};
+  ::clock_gettime(CLOCK_BOOTTIME, &time);
+  const Time true_time = static_cast<Time>(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000;
   return settings_.clock_rate == 1 ? true_time
                                    : static_cast<Time>(static_cast<double>(true_time) * settings_.clock_rate);
 }
 
 milliseconds LeaseClient::left() const {
-  return is_held() ? in_ms(state_.held_until() - now()) : milliseconds(0);
+  return is_held() ? to_ms(state_.held_until() - now()) : milliseconds(0);
 }
 
 void LeaseClient::start() { perform(state_.start(now())); }
@@ -99,15 +99,15 @@
   if (close_called_) return;
   close_called_ = true;
   closed_ = std::move(closed);
-  closing_.expires_after(2 * in_ms(settings_.holder.answer));
-  closing_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
+  close_timer_.expires_after(2 * to_ms(settings_.holder.answer));
+  close_timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
     if (*alive && !error) notify_closed();
   });
   perform(state_.close(now()));
 }
 
 void LeaseClient::notify_closed() {
-  closing_.cancel();
+  close_timer_.cancel();
   if (const auto closed = std::exchange(closed_, nullptr)) closed();
 }
 
@@ -131,15 +131,15 @@
   if (state_.release_requested() && !std::exchange(release_notified_, true)) {
     deliver([this] { listener_.asked_back(); });
   }
-  wait();
+  schedule_tick();
 }
 
-void LeaseClient::wait() {
-  if (state_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to give back
+void LeaseClient::schedule_tick() {
+  if (state_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to release
     timer_.cancel();
     return deliver([this] { notify_closed(); });
   }
-  const Time span = std::clamp(state_.next() - now(), Time{0}, kLongestWait);
+  const Time span = std::clamp(state_.next() - now(), Time{0}, kMaxTimerSpan);
   timer_.expires_after(
       std::chrono::microseconds(static_cast<Time>(static_cast<double>(span) / settings_.clock_rate)));
   timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
@@ -148,43 +148,44 @@
 }
 
 void LeaseClient::send(const LeaseRequest& request) {
-  json body = {{"call", name_of(request.kind)}, {"holder", settings_.holder.holder}};
+  json body = {{"call", call_name(request.kind)}, {"holder", settings_.holder.holder}};
   if (request.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
   if (request.kind != LeaseRequest::Kind::kCampaign) body["token"] = request.token;
-  calls_.call(
-      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), in_ms(settings_.holder.answer)},
+  caller_.call(
+      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), to_ms(settings_.holder.answer)},
       [this, number = request.number](const std::optional<net::HttpReply>& reply) {
-        place_ = 0;
+        queue_place_ = 0;
         log_error(reply);
-        perform(state_.answered(now(), number, parsed(reply, place_)));
+        perform(state_.answered(now(), number, parse_reply(reply, queue_place_)));
       });
 }
 
-// Logged once until the error changes: a refused call is repeated all the time.
+// Logs an error only when it changes, because a refused call is repeated over and over.
 void LeaseClient::log_error(const std::optional<net::HttpReply>& reply) {
-  std::string what = reply ? "" : "no member of the registry answers in time";
+  std::string error = reply ? "" : "no member of the registry answers in time";
   if (reply && reply->status != 200) {
-    const json body = body_of(*reply);
-    what = body.value("error", "status " + std::to_string(reply->status));
+    const json body = parse_body(*reply);
+    error = body.value("error", "status " + std::to_string(reply->status));
     const std::string code = body.value("code", "");
-    if (code == "lease_fenced") what.clear();  // how a grant ends
+    if (code == "lease_fenced") error.clear();  // the normal end of a grant
   }
-  if (what == last_error_) return;
-  last_error_ = what;
-  if (!what.empty()) net::log::warn("lease_not_answered", "lease", settings_.holder.name, "why", what);
+  if (error == last_error_) return;
+  last_error_ = error;
+  if (!error.empty()) net::log::warn("lease_not_answered", "lease", settings_.holder.name, "why", error);
 }
 
 void LeaseClient::save_checkpoint(const std::string& text, std::function<void(CheckpointResult)> done) {
   const json body = {
       {"call", "record"}, {"holder", settings_.holder.holder}, {"token", token()}, {"record", text}};
-  calls_.call({"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), std::min(kRecord, left())},
-              [done = std::move(done)](const std::optional<net::HttpReply>& reply) {
-                if (!reply) return done(CheckpointResult::kFailed);
-                if (reply->status == 200) return done(CheckpointResult::kDone);
-                const std::string code = body_of(*reply).value("code", "");
-                done(code == "lease_fenced" || code == "lease_unknown" ? CheckpointResult::kFenced
-                                                                       : CheckpointResult::kFailed);
-              });
+  caller_.call(
+      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), std::min(kCheckpointTimeout, left())},
+      [done = std::move(done)](const std::optional<net::HttpReply>& reply) {
+        if (!reply) return done(CheckpointResult::kFailed);
+        if (reply->status == 200) return done(CheckpointResult::kDone);
+        const std::string code = parse_body(*reply).value("code", "");
+        done(code == "lease_fenced" || code == "lease_unknown" ? CheckpointResult::kFenced
+                                                               : CheckpointResult::kFailed);
+      });
 }
 
 }  // namespace turntally::lease
--- a/lease/lease_client.h
+++ b/lease/lease_client.h
@@ -1,5 +1,5 @@
-// LeaseState on Asio: its calls go to the registry's members over HTTP, its clock is
-// CLOCK_BOOTTIME, so that the time of a machine that sleeps counts.
+// Runs a LeaseState on Asio: sends its calls to the registry's members over HTTP and drives it by
+// CLOCK_BOOTTIME, which also counts the time while the machine sleeps.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,49 +16,51 @@
 
 struct LeaseClientSettings {
   LeaseSettings holder;
-  std::vector<net::tcp::endpoint> members;
-  double clock_rate = 1;  // for tests of drift: how fast this process's clock runs, 0.9 to 1.1
+  std::vector<net::tcp::endpoint> members;  // of the registry
+  double clock_rate = 1;  // for tests of clock drift: rate of this process's clock, 0.9 to 1.1
 };
 
 class LeaseClient {
  public:
-  // None is called from within a call of this class.
+  // Callbacks are never called from within a call of this class.
   struct Listener {
-    std::function<void(Token token, const std::string& record)> begin;  // acts may begin
-    std::function<void(const std::string& why)> stop;                   // none may begin any more
-    std::function<void()> asked_back;  // somebody else is to have it: end soon, then release()
+    std::function<void(Token token, const std::string& checkpoint)> begin;  // acts may begin
+    std::function<void(const std::string& reason)> stop;                    // no more acts may begin
+    std::function<void()> asked_back;  // finish soon, then call release()
   };
-  enum class CheckpointResult { kDone, kFenced, kFailed };  // kFailed: it may have been taken
+  enum class CheckpointResult { kDone, kFenced, kFailed };  // kFailed: it may have been stored
 
   LeaseClient(boost::asio::io_context& io, const LeaseClientSettings& settings, Listener listener);
   ~LeaseClient();
 
   void start();
-  // Nothing is out any more and the lease goes to the next in line; this one goes to the line's end.
+  // Releases the lease to the next waiter and campaigns again, from the end of the queue. Call it once no act
+  // is in flight.
   void release();
-  // Releases the lease or the place in the queue, and campaigns no more. `closed` once that has been
-  // answered, or nobody has in two times `answer`.
+  // Releases the lease or the place in the queue and stops campaigning. Calls `closed` once the registry has
+  // answered, or after two times `reply_timeout`.
   void close(std::function<void()> closed);
 
-  // Right before each act: says no without the loop's help, also in a process that was stopped.
+  // Returns whether an act may begin; call it right before each act. Works without the event loop, so also in
+  // a process that was stopped for a while.
   bool is_held() const { return state_.is_held(now()); }
-  std::chrono::milliseconds left() const;  // of the time in which acts may begin
+  std::chrono::milliseconds left() const;  // in which acts may begin
   Token token() const { return state_.token(); }
   bool release_requested() const { return state_.release_requested(); }
   const LeaseSettings& settings() const { return settings_.holder; }
-  size_t place() const { return place_; }  // in line; 0: not known to wait
+  size_t place() const { return queue_place_; }  // 0: not known to be queued
 
-  // Why the last call for the lease brought nothing; empty where it did.
+  // Why the last call for the lease failed; empty if it succeeded.
   const std::string& last_error() const { return last_error_; }
 
-  // For the successor: what has been done so far. Only while is_held(), one at a time.
+  // Stores this holder's progress for its successor. Call it only while is_held(), one call at a time.
   void save_checkpoint(const std::string& text, std::function<void(CheckpointResult)> done);
 
  private:
   Time now() const;
   void perform(const std::vector<Action>& actions);
   void send(const LeaseRequest& request);
-  void wait();
+  void schedule_tick();
   void log_error(const std::optional<net::HttpReply>& reply);
   void deliver(std::function<void()> event);
   void notify_closed();
@@ -67,13 +69,13 @@
   LeaseClientSettings settings_;
   Listener listener_;
   LeaseState state_;
-  RegistryCaller calls_;
+  RegistryCaller caller_;
   boost::asio::steady_timer timer_;
-  boost::asio::steady_timer closing_;
+  boost::asio::steady_timer close_timer_;
   std::function<void()> closed_;
   bool close_called_ = false;      // close() was called
-  bool release_notified_ = false;  // asked_back() was called for this grant
-  size_t place_ = 0;
+  bool release_notified_ = false;  // on_release_requested() was called for this grant
+  size_t queue_place_ = 0;
   std::string last_error_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/lease/lease_state.cpp
+++ b/lease/lease_state.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr Time kLongestWait = 60'000'000;  // an answer that says more must not silence a candidate for good
+constexpr Time kMaxRetryAfter = 60'000'000;  // a bad reply must not stop a candidate's calls for good
 
-void append(std::vector<Action>& to, std::vector<Action> added) {
-  to.insert(to.end(), std::make_move_iterator(added.begin()), std::make_move_iterator(added.end()));
+void append(std::vector<Action>& actions, std::vector<Action> added) {
+  actions.insert(actions.end(), std::make_move_iterator(added.begin()), std::make_move_iterator(added.end()));
 }
 
 }  // namespace
 
 LeaseState::LeaseState(LeaseSettings settings)
-    : settings_(std::move(settings)), random_(settings_.seed), retry_span_(settings_.first_pause) {}
+    : settings_(std::move(settings)), random_(settings_.seed), backoff_(settings_.first_pause) {}
 
 std::vector<Action> LeaseState::start(Time now) {
   if (!wanted_) next_request_ = std::max(next_request_, now);
@@ -26,53 +26,53 @@
 }
 
 std::vector<Action> LeaseState::answered(Time now, uint64_t number, const LeaseReply& reply) {
-  // First what time alone has ended: an answer that is too late for its call finds none.
-  std::vector<Action> out = step(now);
-  if (!in_flight_ || in_flight_->request.number != number) return out;
+  // Applies timeouts first, so that a reply after its call's timeout finds no call in flight.
+  std::vector<Action> actions = step(now);
+  if (!in_flight_ || in_flight_->request.number != number) return actions;
   const InFlight call = *in_flight_;
   in_flight_.reset();
   switch (call.request.kind) {
     case LeaseRequest::Kind::kRelease:
       if (reply.kind == LeaseReply::Kind::kGranted || reply.kind == LeaseReply::Kind::kFenced) {
         release_.reset();
-        retry_span_ = settings_.first_pause;
+        backoff_ = settings_.first_pause;
       }
-      next_request_ = now + pause();
+      next_request_ = now + next_backoff();
       break;
     case LeaseRequest::Kind::kRenew:
       if (reply.kind == LeaseReply::Kind::kGranted && reply.token == call.request.token) {
         extend(now, call.sent, reply);
       } else if (reply.kind == LeaseReply::Kind::kGranted || reply.kind == LeaseReply::Kind::kFenced) {
-        lose_grant(now, "fenced", out);
+        lose_grant(now, "fenced", actions);
       } else {
         retry_later(now, reply);
       }
       break;
     case LeaseRequest::Kind::kCampaign:
-      on_campaign_reply(now, call, reply, out);
+      on_campaign_reply(now, call, reply, actions);
       break;
   }
-  append(out, step(now));
-  return out;
+  append(actions, step(now));
+  return actions;
 }
 
 void LeaseState::on_campaign_reply(Time now, const InFlight& call, const LeaseReply& reply,
-                                   std::vector<Action>& out) {
+                                   std::vector<Action>& actions) {
   if (reply.kind == LeaseReply::Kind::kGranted && reply.token != 0) {
     if (release_ || reply.token <= released_token_) {
-      // Closed meanwhile, or a grant that was to go back and still stands: a release that is late on its
-      // way would end it at any time.
+      // close() was called meanwhile, or this is a released grant that still stands: its delayed release may
+      // end it at any time.
       start_release(now, reply.token);
     } else if (call.sent + usable_ttl() > now) {
       token_ = reply.token;
       release_requested_ = false;
       extend(now, call.sent, reply);
-      out.push_back(LeaseAcquired{token_, reply.checkpoint});
+      actions.push_back(LeaseAcquired{token_, reply.checkpoint});
     } else {
       retry_later(now, reply);
     }
   } else if (reply.kind == LeaseReply::Kind::kQueued) {
-    retry_span_ = settings_.first_pause;
+    backoff_ = settings_.first_pause;
     next_request_ = release_ ? now : std::max(now, call.sent + renewal_interval());
   } else {
     retry_later(now, reply);
@@ -82,24 +82,24 @@
 std::vector<Action> LeaseState::tick(Time now) { return step(now); }
 
 std::vector<Action> LeaseState::release(Time now) {
-  std::vector<Action> out;
-  if (token_ != 0) release_grant(now, "released", out);
-  append(out, step(now));
-  return out;
+  std::vector<Action> actions;
+  if (token_ != 0) release_grant(now, "released", actions);
+  append(actions, step(now));
+  return actions;
 }
 
 std::vector<Action> LeaseState::close(Time now) {
-  std::vector<Action> out;
+  std::vector<Action> actions;
   if (token_ != 0) {
-    release_grant(now, "closed", out);
+    release_grant(now, "closed", actions);
   } else if (wanted_ && !release_) {
-    // The place in line. A campaign that is out may still bring the lease: its answer is waited for.
+    // Releases the place in the queue. A campaign in flight may still get the lease: its reply is awaited.
     release_ = PendingRelease{0, now + settings_.ttl};
     if (!in_flight_) next_request_ = now;
   }
   wanted_ = false;
-  append(out, step(now));
-  return out;
+  append(actions, step(now));
+  return actions;
 }
 
 bool LeaseState::is_held(Time now) const { return token_ != 0 && now < until_; }
@@ -108,70 +108,70 @@
 bool LeaseState::release_requested() const { return release_requested_; }
 
 Time LeaseState::next() const {
-  Time out = kNever;
-  if (token_ != 0) out = std::min(out, until_);
+  Time due = kNever;
+  if (token_ != 0) due = std::min(due, until_);
   if (in_flight_) {
-    out = std::min(out, in_flight_->sent + settings_.answer);
+    due = std::min(due, in_flight_->sent + settings_.answer);
   } else if (release_) {
-    out = std::min({out, next_request_, release_->until});
+    due = std::min({due, next_request_, release_->until});
   } else if (wanted_ || token_ != 0) {
-    out = std::min(out, next_request_);
+    due = std::min(due, next_request_);
   }
-  return out;
+  return due;
 }
 
 std::vector<Action> LeaseState::step(Time now) {
-  std::vector<Action> out;
-  if (token_ != 0 && now >= until_) lose_grant(now, "margin", out);
+  std::vector<Action> actions;
+  if (token_ != 0 && now >= until_) lose_grant(now, "margin", actions);
   if (in_flight_ && now - in_flight_->sent >= settings_.answer) {
     in_flight_.reset();
-    next_request_ = now + pause();
+    next_request_ = now + next_backoff();
   }
-  if (release_ && now >= release_->until && !in_flight_) release_.reset();  // expired by itself
-  if (in_flight_ || now < next_request_) return out;
+  if (release_ && now >= release_->until && !in_flight_) release_.reset();  // the lease has expired by itself
+  if (in_flight_ || now < next_request_) return actions;
   if (release_) {
-    send(now, LeaseRequest::Kind::kRelease, out);
+    send(now, LeaseRequest::Kind::kRelease, actions);
   } else if (token_ != 0) {
-    send(now, LeaseRequest::Kind::kRenew, out);
+    send(now, LeaseRequest::Kind::kRenew, actions);
   } else if (wanted_) {
-    send(now, LeaseRequest::Kind::kCampaign, out);
+    send(now, LeaseRequest::Kind::kCampaign, actions);
   }
-  return out;
+  return actions;
 }
 
-void LeaseState::send(Time now, LeaseRequest::Kind kind, std::vector<Action>& out) {
+void LeaseState::send(Time now, LeaseRequest::Kind kind, std::vector<Action>& actions) {
   const LeaseRequest request{kind, ++last_number_,
                              kind == LeaseRequest::Kind::kRelease ? release_->token : token_};
   in_flight_ = InFlight{request, now};
-  out.push_back(request);
+  actions.push_back(request);
 }
 
-// Counted from the sending: the registry counts from when it applied the call, which is later.
+// Extends the grant from when the call was sent: the registry counts from when it applied it, which is later.
 void LeaseState::extend(Time now, Time sent, const LeaseReply& reply) {
   until_ = sent + usable_ttl();
   release_requested_ = release_requested_ || reply.release_requested;
-  retry_span_ = settings_.first_pause;
+  backoff_ = settings_.first_pause;
   next_request_ = std::max(now, sent + renewal_interval());
 }
 
-// Repeats after a call that brought nothing.
+// Schedules the next call after one that failed or was refused.
 void LeaseState::retry_later(Time now, const LeaseReply& reply) {
   const Time wait =
-      reply.kind == LeaseReply::Kind::kRefused ? std::clamp<Time>(reply.retry_after, 0, kLongestWait) : 0;
-  next_request_ = now + wait + pause();
+      reply.kind == LeaseReply::Kind::kRefused ? std::clamp<Time>(reply.retry_after, 0, kMaxRetryAfter) : 0;
+  next_request_ = now + wait + next_backoff();
 }
 
-void LeaseState::lose_grant(Time now, const char* reason, std::vector<Action>& out) {
-  out.push_back(LeaseLost{token_, reason});
+void LeaseState::lose_grant(Time now, const char* reason, std::vector<Action>& actions) {
+  actions.push_back(LeaseLost{token_, reason});
   token_ = 0;
   release_requested_ = false;
-  in_flight_.reset();  // a renewal: whatever its reply, acts have ended
-  next_request_ = now + pause();
+  in_flight_.reset();  // a renewal: its reply no longer matters
+  next_request_ = now + next_backoff();
 }
 
-void LeaseState::release_grant(Time now, const char* reason, std::vector<Action>& out) {
+void LeaseState::release_grant(Time now, const char* reason, std::vector<Action>& actions) {
   const Token token = token_;
-  lose_grant(now, reason, out);
+  lose_grant(now, reason, actions);
   start_release(now, token);
 }
 
@@ -186,16 +186,17 @@
 }
 
 Time LeaseState::renewal_interval() {
-  const double even = static_cast<double>(usable_ttl()) / std::max(settings_.renewals, 1);
-  return static_cast<Time>(even * random_.between(0.7, 0.95));
+  const double interval = static_cast<double>(usable_ttl()) / std::max(settings_.renewals, 1);
+  return static_cast<Time>(interval * random_.between(0.7, 0.95));
 }
 
-// Full jitter (Brooker 2015). With a grant never longer than between two renewals.
-Time LeaseState::pause() {
-  Time most = retry_span_;
-  if (token_ != 0) most = std::min(most, usable_ttl() / std::max(settings_.renewals, 1));
-  retry_span_ = std::min(2 * retry_span_, settings_.most_pause);
-  return static_cast<Time>(random_.between(0, static_cast<double>(most)));
+// Returns a random pause with full jitter (Brooker 2015) and doubles the next one's upper bound. While a
+// grant is held, the pause is at most the interval between two renewals.
+Time LeaseState::next_backoff() {
+  Time max_pause = backoff_;
+  if (token_ != 0) max_pause = std::min(max_pause, usable_ttl() / std::max(settings_.renewals, 1));
+  backoff_ = std::min(2 * backoff_, settings_.most_pause);
+  return static_cast<Time>(random_.between(0, static_cast<double>(max_pause)));
 }
 
 }  // namespace turntally::lease
--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -1,11 +1,12 @@
-// lease: the side of a process that wants or has a lease. This one: its core, without I/O, clock or
-// thread; lease_client.h carries out its requests.
+// The client side of a lease, for a process that wants or holds one. This file is its core, without I/O,
+// clock or thread; lease_client.h carries out its requests.
 //
-// What it rests on: the registry lets a grant stand for its TTL from when a renewal was applied, which is
-// after it was sent; so a holder that counts its time from the sending, by a clock that is at most `drift`
-// faster or slower than true time, and stops a margin before the end, has stopped before the registry gives
-// the lease to another (docs/leases.md). A process that was stopped calls `is_held()` before each act, with
-// the time of that moment; what still comes late is refused by the token.
+// Safety: the registry keeps a grant for its TTL from when it applied a renewal, which is after the renewal
+// was sent. A holder that counts its time from the sending, by a clock that is at most `drift` faster or
+// slower than true time, and stops a margin before the end, has therefore stopped before the registry grants
+// the lease to another process (docs/leases.md). As a process may be stopped at any time, `is_held()` must be
+// called before each act with the current time; an act that arrives too late nevertheless is rejected by its
+// fencing token.
 #pragma once
 
 #include <cstdint>
@@ -18,38 +19,39 @@
 
 namespace turntally::lease {
 
-using Token = uint64_t;  // 0: none
+using Token = uint64_t;  // a fencing token; 0: none
 using Time = int64_t;    // microseconds of a clock that never goes back
 
 struct LeaseSettings {
   std::string name;    // of the lease
-  std::string holder;  // of this process, new with each start
+  std::string holder;  // name of this process, new with each start
   Time ttl = 3'000'000;
-  // Of the TTL: a holder stops that long before its end. With `drift` of both clocks and jumps of the log's
+  // Share of the TTL before whose end a holder stops. With `drift` of both clocks and jumps of the log's
   // clock by two ticks: 1 - margin <= (1 - drift) / (1 + drift) x (1 - 2 tick / TTL) (docs/leases.md).
   double margin = 0.25;
   int renewals = 4;       // within a TTL less the margin
-  Time answer = 500'000;  // an answer that takes longer is lost; the call is repeated
-  Time first_pause =
-      50'000;  // before the next call after a failure or a lost lease, doubled up to `most_pause`,
-  Time most_pause = 2'000'000;  // with full jitter
+  Time answer = 500'000;  // a later reply is ignored; the call is repeated
+  // Upper bound of the random pause before the next call after a failure or a lost lease, doubled each time
+  // up to `max_backoff`.
+  Time first_pause = 50'000;
+  Time most_pause = 2'000'000;
   uint64_t seed = 0;
 };
 
-// What to send. `number` names the call: an answer says which it is for.
+// A call to send. `number` identifies it: a reply is reported with the number of its call.
 struct LeaseRequest {
   enum class Kind { kCampaign, kRenew, kRelease };
   Kind kind = Kind::kCampaign;
   uint64_t number = 0;
   Token token = 0;
 };
-// From here on acts may begin, with this token; `checkpoint` is what the holders before have left.
+// Acts may begin from now on, with this token. `checkpoint` was stored by earlier holders.
 struct LeaseAcquired {
   Token token = 0;
   std::string checkpoint;
 };
-// Nothing may begin any more; what is out should be cut short. `reason`: "margin", "fenced", "released",
-// "closed".
+// No act may begin any more; acts in flight should be cut short. `reason` is "margin", "fenced", "released"
+// or "closed".
 struct LeaseLost {
   Token token = 0;
   std::string reason;
@@ -62,35 +64,35 @@
     kQueued,
     kFenced,
     kRefused,
-    kFailed
-  };  // kFailed: no answer, or none that says which
+    kFailed  // no reply, or one that cannot be interpreted
+  };
   Kind kind = Kind::kFailed;
   Token token = 0;
   bool release_requested = false;
   std::string checkpoint;
-  Time retry_after = 0;  // kRefused: not before that
+  Time retry_after = 0;  // kRefused: minimum pause before the next call
 };
 
 class LeaseState {
  public:
   explicit LeaseState(LeaseSettings settings);
 
-  // Events. Each returns what to do, in order. Times never go back.
-  std::vector<Action> start(Time now);  // campaign from now on
-  std::vector<Action> answered(Time now, uint64_t number,
-                               const LeaseReply&);  // late, doubled and unknown ones as well
+  // Events. Each returns the actions to carry out, in order. `now` never goes back.
+  std::vector<Action> start(Time now);  // campaigns from now on
+  // Ignores replies that are late, duplicated or for unknown calls.
+  std::vector<Action> answered(Time now, uint64_t number, const LeaseReply&);
   std::vector<Action> tick(Time now);
-  std::vector<Action> release(
-      Time now);  // after release_requested(): nothing is out any more, the lease may go
-  std::vector<Action> close(Time now);  // give it back, and campaign no more
+  std::vector<Action> release(Time now);  // after release_requested(), once no act is in flight
+  std::vector<Action> close(Time now);    // releases the lease and stops campaigning
 
-  // Whether an act may begin now. Called right before each act; says no without a tick.
+  // Returns whether an act may begin now; call it right before each act. Needs no tick() to return false once
+  // the time is over.
   bool is_held(Time now) const;
   Time held_until() const;         // by this process's clock; 0: there is no grant
   Token token() const;             // of the current grant; 0: none
-  bool release_requested() const;  // somebody else is to have it: end soon, then release()
-  // When tick() is wanted, at the latest; the greatest Time where nothing is to be done any more, so after
-  // close() that the lease has been given back or has expired.
+  bool release_requested() const;  // another process is to get the lease: finish soon, then call release()
+  // Returns when tick() is due at the latest; the maximum Time if nothing is left to do, that is after
+  // close() once the lease has been released or has expired.
   Time next() const;
 
  private:
@@ -98,36 +100,37 @@
     LeaseRequest request;
     Time sent = 0;
   };
-  // The lease, or without a token the place in line, is to go back: requested until that is answered, or
-  // until it has expired by itself.
+  // A release of the lease, or without a token of the place in the queue: repeated until it is answered or
+  // the lease has expired by itself.
   struct PendingRelease {
     Token token = 0;
     Time until = 0;
   };
   std::vector<Action> step(Time now);
-  void send(Time now, LeaseRequest::Kind kind, std::vector<Action>& out);
-  void on_campaign_reply(Time now, const InFlight& call, const LeaseReply& reply, std::vector<Action>& out);
+  void send(Time now, LeaseRequest::Kind kind, std::vector<Action>& actions);
+  void on_campaign_reply(Time now, const InFlight& call, const LeaseReply& reply,
+                         std::vector<Action>& actions);
   void extend(Time now, Time sent, const LeaseReply& reply);
   void retry_later(Time now, const LeaseReply& reply);
-  void lose_grant(Time now, const char* reason, std::vector<Action>& out);
+  void lose_grant(Time now, const char* reason, std::vector<Action>& actions);
   void start_release(Time now, Token token);
-  void release_grant(Time now, const char* reason, std::vector<Action>& out);
+  void release_grant(Time now, const char* reason, std::vector<Action>& actions);
   Time usable_ttl() const;
   Time renewal_interval();
-  Time pause();
+  Time next_backoff();
 
   LeaseSettings settings_;
   net::Random random_;
   bool wanted_ = false;
   bool release_requested_ = false;
   uint64_t last_number_ = 0;
-  std::optional<InFlight> in_flight_;  // one call at a time; one that is not answered in time is given up
+  std::optional<InFlight> in_flight_;  // one call at a time, given up after `reply_timeout`
   std::optional<PendingRelease> release_;
-  Token released_token_ = 0;  // up to it no grant is used any more: its release may still arrive
+  Token released_token_ = 0;  // no grant up to this token is used again: its release may still arrive
   Token token_ = 0;
-  Time until_ = 0;  // acts may begin before it
+  Time until_ = 0;  // acts may begin before this
   Time next_request_ = 0;
-  Time retry_span_ = 0;  // of the next pause
+  Time backoff_ = 0;  // upper bound of the next pause
 };
 
 }  // namespace turntally::lease
--- a/lease/registry_caller.cpp
+++ b/lease/registry_caller.cpp
@@ -12,12 +12,13 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr int kMostRedirects = 3;   // in a row: members may differ on who leads
-constexpr milliseconds kPause{25};  // before the next member: an election takes longer than a round of calls
-constexpr milliseconds kShortest{10};  // with less time left no call is begun
+constexpr int kMaxRedirects = 3;  // in a row: members may disagree on who leads
+// Pause before the next member is called, as an election takes longer than calling every member once.
+constexpr milliseconds kPause{25};
+constexpr milliseconds kMinTimeout{10};  // no call is started with less time left
 
-// "http://127.0.0.1:7101/path"
-std::optional<net::tcp::endpoint> address_in(const std::string& location) {
+// Parses the address in a URL such as "http://127.0.0.1:7101/path".
+std::optional<net::tcp::endpoint> parse_location(const std::string& location) {
   constexpr std::string_view kScheme = "http://";
   if (!location.starts_with(kScheme)) return {};
   const size_t end = location.find('/', kScheme.size());
@@ -31,71 +32,73 @@
 
 }  // namespace
 
-class RegistryCaller::Attempt : public std::enable_shared_from_this<Attempt> {
+// A call until it is done, through all redirects and members.
+class RegistryCaller::PendingCall : public std::enable_shared_from_this<PendingCall> {
  public:
-  Attempt(const std::shared_ptr<Shared>& shared, net::HttpCall call, Done done)
+  PendingCall(const std::shared_ptr<Shared>& shared, net::HttpCall call, Done done)
       : shared_(shared),
-        pause_(shared->io),
+        pause_timer_(shared->io),
         call_(std::move(call)),
         done_(std::move(done)),
-        until_(Clock::now() + call_.timeout) {}
+        deadline_(Clock::now() + call_.timeout) {}
 
   void send() {
     const auto shared = shared_.lock();
     if (!shared) return;
-    const auto left = std::chrono::duration_cast<milliseconds>(until_ - Clock::now());
-    net::HttpCall one = call_;
-    one.timeout = std::max(std::min(left, call_.timeout / 2), kShortest);
-    net::http_call(shared->io, shared->at, std::move(one),
-                   [self = shared_from_this(), to = shared->at](std::optional<net::HttpReply> reply) {
-                     self->answered(to, std::move(reply));
+    const auto time_left = std::chrono::duration_cast<milliseconds>(deadline_ - Clock::now());
+    net::HttpCall call = call_;
+    call.timeout = std::max(std::min(time_left, call_.timeout / 2), kMinTimeout);
+    net::http_call(shared->io, shared->current, std::move(call),
+                   [self = shared_from_this(), from = shared->current](std::optional<net::HttpReply> reply) {
+                     self->on_reply(from, std::move(reply));
                    });
   }
 
  private:
-  void answered(const net::tcp::endpoint& from, std::optional<net::HttpReply> reply) {
+  void on_reply(const net::tcp::endpoint& from, std::optional<net::HttpReply> reply) {
     const auto shared = shared_.lock();
     if (!shared) return;
-    if (reply && reply->status == 307 && redirects_ < kMostRedirects && left()) {
+    if (reply && reply->status == 307 && redirects_ < kMaxRedirects && has_time_left()) {
       const auto location = reply->fields.find("location");
-      if (const auto to = location == reply->fields.end() ? std::nullopt : address_in(location->second)) {
+      if (const auto target =
+              location == reply->fields.end() ? std::nullopt : parse_location(location->second)) {
         ++redirects_;
-        shared->at = *to;
+        shared->current = *target;
         return send();
       }
     }
     if (reply && reply->status != 307 && reply->status != 503) return done_(std::move(reply));
-    // Another call may have moved on already.
-    if (shared->at == from) shared->at = shared->members[shared->next++ % shared->members.size()];
+    // Another call may have switched to the next member already.
+    if (shared->current == from) shared->current = shared->members[shared->next++ % shared->members.size()];
     redirects_ = 0;
-    if (reply) last_ = std::move(reply);
-    if (!left()) return done_(std::move(last_));
-    pause_.expires_after(kPause);
-    pause_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
+    if (reply) last_reply_ = std::move(reply);
+    if (!has_time_left()) return done_(std::move(last_reply_));
+    pause_timer_.expires_after(kPause);
+    pause_timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (!error) self->send();
     });
   }
 
-  bool left() const { return until_ - Clock::now() > kPause + kShortest; }
+  bool has_time_left() const { return deadline_ - Clock::now() > kPause + kMinTimeout; }
 
   std::weak_ptr<Shared> shared_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer pause_timer_;
   net::HttpCall call_;
   Done done_;
-  Clock::time_point until_;
+  Clock::time_point deadline_;
   int redirects_ = 0;
-  std::optional<net::HttpReply> last_;
+  std::optional<net::HttpReply> last_reply_;
 };
 
 RegistryCaller::RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members,
                                uint64_t seed)
     : shared_(std::make_shared<Shared>(Shared{io, std::move(members), {}, 0})) {
   net::Random(seed, 11).shuffle(shared_->members);
-  shared_->at = shared_->members[shared_->next++];
+  shared_->current = shared_->members[shared_->next++];
 }
 
 void RegistryCaller::call(net::HttpCall call, Done done) {
-  std::make_shared<Attempt>(shared_, std::move(call), std::move(done))->send();
+  std::make_shared<PendingCall>(shared_, std::move(call), std::move(done))->send();
 }
 
 }  // namespace turntally::lease
--- a/lease/registry_caller.h
+++ b/lease/registry_caller.h
@@ -1,5 +1,5 @@
-// Calls to a registry of several members, on a loop: redirects are followed, and on failure the next member
-// is called until the call's time is over. So each call must be safe to repeat.
+// Sends calls to a registry with several members, on an event loop: follows redirects, and after a failure
+// calls the next member until the call's timeout is over. Each call must therefore be safe to repeat.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,19 +20,19 @@
 
   RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members, uint64_t seed);
 
-  // A member that takes half of `call.timeout` is left for the next one: it may be stopped. `done` is called
-  // once: with an answer other than 503, or when `call.timeout` is over with the last 503, or with nothing;
-  // never from here, and not after this has gone.
+  // A member that has not replied within half of `call.timeout` is given up for the next one, as it may be
+  // stopped. Calls `done` once: with a reply other than 503 or, when `call.timeout` is over, with the last
+  // 503 or nothing. Never calls it from within call() or after this object is destroyed.
   void call(net::HttpCall call, Done done);
 
  private:
   struct Shared {
     boost::asio::io_context& io;
     std::vector<net::tcp::endpoint> members;
-    net::tcp::endpoint at;  // called first: the member that answered last
+    net::tcp::endpoint current;  // called first: the member that replied last
     size_t next = 0;
   };
-  class Attempt;
+  class PendingCall;
   std::shared_ptr<Shared> shared_;
 };
 
--- a/tests/lease/lease_state_test.cpp
+++ b/tests/lease/lease_state_test.cpp
@@ -1,4 +1,4 @@
-// The holder's core.
+// Tests LeaseState, the core of the lease client, by feeding it times and replies.
 #include "lease/lease_state.h"
 
 #include <gtest/gtest.h>
@@ -12,276 +12,285 @@
 constexpr Time kMs = 1000;
 constexpr Time kNever = std::numeric_limits<Time>::max();
 
-// A TTL of 1 s of which 750 ms may be used; answers may take 200 ms.
-LeaseSettings settings() {
-  LeaseSettings out;
-  out.name = "task/a";
-  out.holder = "p1";
-  out.ttl = 1000 * kMs;
-  out.answer = 200 * kMs;
-  out.seed = 7;
-  return out;
+// A TTL of 1 s, of which 750 ms are usable, and a reply timeout of 200 ms.
+LeaseSettings make_settings() {
+  LeaseSettings settings;
+  settings.name = "task/a";
+  settings.holder = "p1";
+  settings.ttl = 1000 * kMs;
+  settings.answer = 200 * kMs;
+  settings.seed = 7;
+  return settings;
 }
-LeaseReply held(Token token, bool asked_back = false) {
-  return {LeaseReply::Kind::kGranted, token, asked_back, "left", 0};
+LeaseReply granted_reply(Token token, bool release_requested = false) {
+  return {LeaseReply::Kind::kGranted, token, release_requested, "left", 0};
+}
+LeaseReply make_reply(LeaseReply::Kind kind, Time retry_after = 0) {
+  return {kind, 0, false, "", retry_after};
 }
-LeaseReply plain(LeaseReply::Kind kind, Time wait = 0) { return {kind, 0, false, "", wait}; }
 
 template <typename T>
-std::vector<T> all(const std::vector<Action>& actions) {
-  std::vector<T> out;
-  for (const Action& one : actions) {
-    if (const T* it = std::get_if<T>(&one)) out.push_back(*it);
+std::vector<T> actions_of(const std::vector<Action>& actions) {
+  std::vector<T> result;
+  for (const Action& action : actions) {
+    if (const T* match = std::get_if<T>(&action)) result.push_back(*match);
   }
-  return out;
+  return result;
 }
-LeaseRequest ask(const std::vector<Action>& actions) {
-  const auto asks = all<LeaseRequest>(actions);
-  EXPECT_EQ(asks.size(), 1U);
-  return asks.empty() ? LeaseRequest{} : asks.front();
+// Returns the only request among the actions.
+LeaseRequest only_request(const std::vector<Action>& actions) {
+  const auto requests = actions_of<LeaseRequest>(actions);
+  EXPECT_EQ(requests.size(), 1U);
+  return requests.empty() ? LeaseRequest{} : requests.front();
 }
 
-// Runs to when the next call goes out.
-struct Sent {
+struct SentRequest {
   Time at = 0;
-  LeaseRequest ask;
+  LeaseRequest request;
 };
-Sent next_ask(LeaseState& h, Time limit = kNever) {
-  for (Time at = h.next(); at < limit; at = h.next()) {
-    const auto asks = all<LeaseRequest>(h.tick(at));
-    if (!asks.empty()) return {at, asks.front()};
+// Ticks the state until it sends the next request.
+SentRequest next_request(LeaseState& state, Time limit = kNever) {
+  for (Time at = state.next(); at < limit; at = state.next()) {
+    const auto requests = actions_of<LeaseRequest>(state.tick(at));
+    if (!requests.empty()) return {at, requests.front()};
   }
   return {};
 }
 
-// Holds token 5 by a campaign that was sent at 0 and answered at 100 ms.
-struct Held {
-  LeaseState h;
-  explicit Held(LeaseSettings s = settings()) : h(std::move(s)) {
-    const LeaseRequest first = ask(h.start(0));
+// A holder of token 5, whose campaign was sent at 0 and answered at 100 ms.
+struct Holder {
+  LeaseState state;
+  explicit Holder(LeaseSettings settings = make_settings()) : state(std::move(settings)) {
+    const LeaseRequest first = only_request(state.start(0));
     EXPECT_EQ(first.kind, LeaseRequest::Kind::kCampaign);
-    const auto actions = h.answered(100 * kMs, first.number, held(5));
-    EXPECT_EQ(all<LeaseAcquired>(actions).size(), 1U);
-    EXPECT_EQ(all<LeaseAcquired>(actions).front().checkpoint, "left");
+    const auto actions = state.answered(100 * kMs, first.number, granted_reply(5));
+    EXPECT_EQ(actions_of<LeaseAcquired>(actions).size(), 1U);
+    EXPECT_EQ(actions_of<LeaseAcquired>(actions).front().checkpoint, "left");
   }
 };
 
-TEST(Holder, CountsItsTimeFromTheSending) {
-  Held it;
-  EXPECT_EQ(it.h.held_until(), 750 * kMs);
-  EXPECT_TRUE(it.h.is_held(750 * kMs - 1));
-  EXPECT_FALSE(it.h.is_held(750 * kMs));  // without a tick
-  const Sent renewal = next_ask(it.h);
-  EXPECT_EQ(renewal.ask.kind, LeaseRequest::Kind::kRenew);
-  EXPECT_EQ(renewal.ask.token, 5U);
-  it.h.answered(renewal.at + 150 * kMs, renewal.ask.number, held(5));
-  EXPECT_EQ(it.h.held_until(), renewal.at + 750 * kMs);
+TEST(LeaseState, CountsGrantFromSendingOfTheCall) {
+  Holder holder;
+  EXPECT_EQ(holder.state.held_until(), 750 * kMs);
+  EXPECT_TRUE(holder.state.is_held(750 * kMs - 1));
+  EXPECT_FALSE(holder.state.is_held(750 * kMs));  // without a tick
+  const SentRequest renewal = next_request(holder.state);
+  EXPECT_EQ(renewal.request.kind, LeaseRequest::Kind::kRenew);
+  EXPECT_EQ(renewal.request.token, 5U);
+  holder.state.answered(renewal.at + 150 * kMs, renewal.request.number, granted_reply(5));
+  EXPECT_EQ(holder.state.held_until(), renewal.at + 750 * kMs);
 }
 
-TEST(Holder, FitsItsRenewalsIntoTheUsefulSpan) {
-  std::vector<Time> spans;
+TEST(LeaseState, FitsRenewalsIntoUsableTtl) {
+  std::vector<Time> intervals;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    LeaseSettings s = settings();
-    s.seed = seed;
-    Held it(s);
+    LeaseSettings settings = make_settings();
+    settings.seed = seed;
+    Holder holder(settings);
     Time sent = 0;
     for (int i = 0; i < 10; ++i) {
-      const Sent renewal = next_ask(it.h);
-      ASSERT_EQ(renewal.ask.kind, LeaseRequest::Kind::kRenew);
-      spans.push_back(renewal.at - sent);
+      const SentRequest renewal = next_request(holder.state);
+      ASSERT_EQ(renewal.request.kind, LeaseRequest::Kind::kRenew);
+      intervals.push_back(renewal.at - sent);
       sent = renewal.at;
-      it.h.answered(sent + 1 * kMs, renewal.ask.number, held(5));
+      holder.state.answered(sent + 1 * kMs, renewal.request.number, granted_reply(5));
     }
   }
-  const auto [least, most] = std::minmax_element(spans.begin(), spans.end());
-  EXPECT_GE(*least, 750 * kMs / 4 / 2);
-  EXPECT_LE(*most, 750 * kMs / 4);
-  EXPECT_GT(*most - *least, 20 * kMs);  // holders that began together do not stay together
+  const auto [min, max] = std::minmax_element(intervals.begin(), intervals.end());
+  EXPECT_GE(*min, 750 * kMs / 4 / 2);
+  EXPECT_LE(*max, 750 * kMs / 4);
+  EXPECT_GT(*max - *min, 20 * kMs);  // jitter: holders that started together drift apart
 }
 
-TEST(Holder, StopsByItselfWhenNothingIsAnswered) {
-  Held it;
+TEST(LeaseState, LosesGrantAtMarginWhenNoReplyArrives) {
+  Holder holder;
   int renewals = 0;
   for (;;) {
-    const Time at = it.h.next();
-    const auto actions = it.h.tick(at);
-    const auto stops = all<LeaseLost>(actions);
-    if (!stops.empty()) {
+    const Time at = holder.state.next();
+    const auto actions = holder.state.tick(at);
+    const auto losses = actions_of<LeaseLost>(actions);
+    if (!losses.empty()) {
       EXPECT_EQ(at, 750 * kMs);
-      EXPECT_EQ(stops.front().reason, "margin");
-      EXPECT_EQ(stops.front().token, 5U);
+      EXPECT_EQ(losses.front().reason, "margin");
+      EXPECT_EQ(losses.front().token, 5U);
       break;
     }
-    renewals += static_cast<int>(all<LeaseRequest>(actions).size());
+    renewals += static_cast<int>(actions_of<LeaseRequest>(actions).size());
     ASSERT_LT(at, 750 * kMs);
   }
   EXPECT_GE(renewals, 2);
-  EXPECT_EQ(it.h.token(), 0U);
-  EXPECT_EQ(next_ask(it.h).ask.kind, LeaseRequest::Kind::kCampaign);
+  EXPECT_EQ(holder.state.token(), 0U);
+  EXPECT_EQ(next_request(holder.state).request.kind, LeaseRequest::Kind::kCampaign);
 }
 
-TEST(Holder, OnlyTheAnswerToTheCallThatIsOutCounts) {
-  Held it;
-  const Sent first = next_ask(it.h);
-  it.h.tick(first.at + 200 * kMs);  // given up
-  const Sent second = next_ask(it.h);
-  ASSERT_EQ(second.ask.kind, LeaseRequest::Kind::kRenew);
-  // Late, unknown, doubled: neither a refusal nor a grant among them counts.
+TEST(LeaseState, IgnoresLateUnknownAndDuplicateReplies) {
+  Holder holder;
+  const SentRequest first = next_request(holder.state);
+  holder.state.tick(first.at + 200 * kMs);  // the call times out
+  const SentRequest second = next_request(holder.state);
+  ASSERT_EQ(second.request.kind, LeaseRequest::Kind::kRenew);
+  // Neither a rejection nor a grant counts in a reply that is late, unknown or duplicated.
+  EXPECT_TRUE(actions_of<LeaseLost>(holder.state.answered(second.at, first.request.number,
+                                                          make_reply(LeaseReply::Kind::kFenced)))
+                  .empty());
   EXPECT_TRUE(
-      all<LeaseLost>(it.h.answered(second.at, first.ask.number, plain(LeaseReply::Kind::kFenced))).empty());
-  EXPECT_TRUE(all<LeaseLost>(it.h.answered(second.at, 99, plain(LeaseReply::Kind::kFenced))).empty());
-  it.h.answered(second.at, first.ask.number, held(5));
-  EXPECT_EQ(it.h.held_until(), 750 * kMs);
-  it.h.answered(second.at + 1 * kMs, second.ask.number, held(5));
-  EXPECT_EQ(it.h.held_until(), second.at + 750 * kMs);
-  const auto doubled =
-      it.h.answered(second.at + 2 * kMs, second.ask.number, plain(LeaseReply::Kind::kFenced));
-  EXPECT_TRUE(all<LeaseLost>(doubled).empty());
-  EXPECT_EQ(it.h.token(), 5U);
+      actions_of<LeaseLost>(holder.state.answered(second.at, 99, make_reply(LeaseReply::Kind::kFenced)))
+          .empty());
+  holder.state.answered(second.at, first.request.number, granted_reply(5));
+  EXPECT_EQ(holder.state.held_until(), 750 * kMs);
+  holder.state.answered(second.at + 1 * kMs, second.request.number, granted_reply(5));
+  EXPECT_EQ(holder.state.held_until(), second.at + 750 * kMs);
+  const auto duplicate = holder.state.answered(second.at + 2 * kMs, second.request.number,
+                                               make_reply(LeaseReply::Kind::kFenced));
+  EXPECT_TRUE(actions_of<LeaseLost>(duplicate).empty());
+  EXPECT_EQ(holder.state.token(), 5U);
 }
 
-TEST(Holder, AnAnswerAfterTheTimeForItCountsNoMoreEvenWithoutATick) {
-  LeaseState h(settings());
-  const LeaseRequest first = ask(h.start(0));
-  EXPECT_TRUE(all<LeaseAcquired>(h.answered(200 * kMs, first.number, held(5))).empty());
-  EXPECT_EQ(h.token(), 0U);
+TEST(LeaseState, IgnoresReplyAfterTimeoutWithoutTick) {
+  LeaseState state(make_settings());
+  const LeaseRequest first = only_request(state.start(0));
+  EXPECT_TRUE(actions_of<LeaseAcquired>(state.answered(200 * kMs, first.number, granted_reply(5))).empty());
+  EXPECT_EQ(state.token(), 0U);
 }
 
-TEST(Holder, AGrantThatIsOverOnArrivalDoesNotBegin) {
-  LeaseSettings s = settings();
-  s.answer = 900 * kMs;
-  LeaseState h(s);
-  const LeaseRequest first = ask(h.start(0));
-  EXPECT_TRUE(all<LeaseAcquired>(h.answered(800 * kMs, first.number, held(5))).empty());
-  EXPECT_FALSE(h.is_held(800 * kMs));
-  EXPECT_EQ(next_ask(h).ask.kind, LeaseRequest::Kind::kCampaign);
+TEST(LeaseState, IgnoresGrantThatExpiredBeforeArrival) {
+  LeaseSettings settings = make_settings();
+  settings.answer = 900 * kMs;
+  LeaseState state(settings);
+  const LeaseRequest first = only_request(state.start(0));
+  EXPECT_TRUE(actions_of<LeaseAcquired>(state.answered(800 * kMs, first.number, granted_reply(5))).empty());
+  EXPECT_FALSE(state.is_held(800 * kMs));
+  EXPECT_EQ(next_request(state).request.kind, LeaseRequest::Kind::kCampaign);
 }
 
-TEST(Holder, StopsAtOnceWhereItIsFencedOrAnotherGrantStands) {
-  for (const LeaseReply& reply : {plain(LeaseReply::Kind::kFenced), held(6)}) {
-    Held it;
-    const Sent renewal = next_ask(it.h);
-    const auto stops = all<LeaseLost>(it.h.answered(renewal.at + 1, renewal.ask.number, reply));
-    ASSERT_EQ(stops.size(), 1U);
-    EXPECT_EQ(stops.front().reason, "fenced");
-    EXPECT_FALSE(it.h.is_held(renewal.at + 1));
-    EXPECT_EQ(next_ask(it.h).ask.kind, LeaseRequest::Kind::kCampaign);
+TEST(LeaseState, LosesGrantAtOnceWhenFencedOrAnotherTokenIsCurrent) {
+  for (const LeaseReply& reply : {make_reply(LeaseReply::Kind::kFenced), granted_reply(6)}) {
+    Holder holder;
+    const SentRequest renewal = next_request(holder.state);
+    const auto losses =
+        actions_of<LeaseLost>(holder.state.answered(renewal.at + 1, renewal.request.number, reply));
+    ASSERT_EQ(losses.size(), 1U);
+    EXPECT_EQ(losses.front().reason, "fenced");
+    EXPECT_FALSE(holder.state.is_held(renewal.at + 1));
+    EXPECT_EQ(next_request(holder.state).request.kind, LeaseRequest::Kind::kCampaign);
   }
 }
 
-TEST(Holder, KeepsItsPlaceInLine) {
-  LeaseState h(settings());
-  Sent at{0, ask(h.start(0))};
+TEST(LeaseState, RepeatsCampaignWithinTtlWhileQueued) {
+  LeaseState state(make_settings());
+  SentRequest last{0, only_request(state.start(0))};
   for (int i = 0; i < 20; ++i) {
-    h.answered(at.at + 1 * kMs, at.ask.number, plain(LeaseReply::Kind::kQueued));
-    const Sent again = next_ask(h);
-    EXPECT_EQ(again.ask.kind, LeaseRequest::Kind::kCampaign);
-    EXPECT_LT(again.at - at.at, 250 * kMs);
-    at = again;
+    state.answered(last.at + 1 * kMs, last.request.number, make_reply(LeaseReply::Kind::kQueued));
+    const SentRequest again = next_request(state);
+    EXPECT_EQ(again.request.kind, LeaseRequest::Kind::kCampaign);
+    EXPECT_LT(again.at - last.at, 250 * kMs);
+    last = again;
   }
 }
 
-TEST(Holder, WaitsLongerAfterEachFailureAndAsLongAsItIsTold) {
-  LeaseState h(settings());
+TEST(LeaseState, BacksOffAfterFailuresAndHonorsRetryAfter) {
+  LeaseState state(make_settings());
   Time now = 0;
-  LeaseRequest out = ask(h.start(0));
-  Time longest = 0;
+  LeaseRequest request = only_request(state.start(0));
+  Time max_pause = 0;
   for (int i = 0; i < 40; ++i) {
-    h.answered(now, out.number, plain(LeaseReply::Kind::kFailed));
-    const Sent again = next_ask(h);
+    state.answered(now, request.number, make_reply(LeaseReply::Kind::kFailed));
+    const SentRequest again = next_request(state);
     EXPECT_LE(again.at - now, std::min<Time>(2'000 * kMs, 50 * kMs << std::min(i, 10)));
-    longest = std::max(longest, again.at - now);
+    max_pause = std::max(max_pause, again.at - now);
     now = again.at;
-    out = again.ask;
+    request = again.request;
   }
-  EXPECT_GT(longest, 1'000 * kMs);
-  h.answered(now, out.number, plain(LeaseReply::Kind::kRefused, 5'000 * kMs));
-  const Sent again = next_ask(h);
+  EXPECT_GT(max_pause, 1'000 * kMs);
+  state.answered(now, request.number, make_reply(LeaseReply::Kind::kRefused, 5'000 * kMs));
+  const SentRequest again = next_request(state);
   EXPECT_GE(again.at - now, 5'000 * kMs);
-  h.answered(again.at, again.ask.number, plain(LeaseReply::Kind::kRefused, kNever));
-  EXPECT_LT(next_ask(h).at - again.at, 100'000 * kMs);
+  state.answered(again.at, again.request.number, make_reply(LeaseReply::Kind::kRefused, kNever));
+  EXPECT_LT(next_request(state).at - again.at, 100'000 * kMs);
 }
 
-TEST(Holder, GivesTheLeaseToAnotherOnceItsTaskIsDone) {
-  Held it;
-  const Sent renewal = next_ask(it.h);
-  it.h.answered(renewal.at, renewal.ask.number, held(5, true));
-  EXPECT_TRUE(it.h.release_requested());
-  EXPECT_TRUE(it.h.is_held(renewal.at));  // what is out may end
-  const Sent more = next_ask(it.h);
-  it.h.answered(more.at, more.ask.number, held(5, false));
-  EXPECT_TRUE(it.h.release_requested());
+TEST(LeaseState, ReleasesOnRequestAndCampaignsAgainOnceAnswered) {
+  Holder holder;
+  const SentRequest renewal = next_request(holder.state);
+  holder.state.answered(renewal.at, renewal.request.number, granted_reply(5, true));
+  EXPECT_TRUE(holder.state.release_requested());
+  EXPECT_TRUE(holder.state.is_held(renewal.at));  // acts in flight may finish
+  const SentRequest more = next_request(holder.state);
+  holder.state.answered(more.at, more.request.number, granted_reply(5, false));
+  EXPECT_TRUE(holder.state.release_requested());
   const Time now = more.at + 10 * kMs;
-  const auto actions = it.h.release(now);
-  ASSERT_EQ(all<LeaseLost>(actions).size(), 1U);
-  EXPECT_EQ(all<LeaseLost>(actions).front().reason, "released");
-  LeaseRequest release = ask(actions);
+  const auto actions = holder.state.release(now);
+  ASSERT_EQ(actions_of<LeaseLost>(actions).size(), 1U);
+  EXPECT_EQ(actions_of<LeaseLost>(actions).front().reason, "released");
+  LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(release.token, 5U);
-  EXPECT_FALSE(it.h.is_held(now));
-  // Not answered: asked again, and only then it stands in line again.
-  const Sent again = next_ask(it.h);
-  EXPECT_EQ(again.ask.kind, LeaseRequest::Kind::kRelease);
-  it.h.answered(again.at, again.ask.number, plain(LeaseReply::Kind::kFenced));
-  EXPECT_EQ(next_ask(it.h).ask.kind, LeaseRequest::Kind::kCampaign);
+  EXPECT_FALSE(holder.state.is_held(now));
+  // The release is not answered: it is repeated, and only after its reply the state campaigns again.
+  const SentRequest again = next_request(holder.state);
+  EXPECT_EQ(again.request.kind, LeaseRequest::Kind::kRelease);
+  holder.state.answered(again.at, again.request.number, make_reply(LeaseReply::Kind::kFenced));
+  EXPECT_EQ(next_request(holder.state).request.kind, LeaseRequest::Kind::kCampaign);
 }
 
-// A release may be longer on its way than a TTL, while the registry has no leader and no time passes in its
-// log: then the grant still stands, and to hold it again would let that release end it under the holder.
-TEST(Holder, NeverHoldsAGrantAgainThatItWantedToGiveBack) {
-  Held it;
-  it.h.release(300 * kMs);
-  Sent campaign = next_ask(it.h);
-  while (campaign.ask.kind == LeaseRequest::Kind::kRelease) campaign = next_ask(it.h);
-  ASSERT_EQ(campaign.ask.kind, LeaseRequest::Kind::kCampaign);
-  const auto actions = it.h.answered(campaign.at, campaign.ask.number, held(5));
-  EXPECT_TRUE(all<LeaseAcquired>(actions).empty());
-  const LeaseRequest release = ask(actions);
+// A release may be delayed by more than a TTL while the registry has no leader and its log's time stands
+// still. The grant then still stands; if it were acquired again, the delayed release would end it during use.
+TEST(LeaseState, NeverReacquiresReleasedGrant) {
+  Holder holder;
+  holder.state.release(300 * kMs);
+  SentRequest campaign = next_request(holder.state);
+  while (campaign.request.kind == LeaseRequest::Kind::kRelease) campaign = next_request(holder.state);
+  ASSERT_EQ(campaign.request.kind, LeaseRequest::Kind::kCampaign);
+  const auto actions = holder.state.answered(campaign.at, campaign.request.number, granted_reply(5));
+  EXPECT_TRUE(actions_of<LeaseAcquired>(actions).empty());
+  const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(release.token, 5U);
-  EXPECT_FALSE(it.h.is_held(campaign.at));
-  it.h.answered(campaign.at, release.number, held(0));
-  const Sent again = next_ask(it.h);
-  EXPECT_EQ(all<LeaseAcquired>(it.h.answered(again.at, again.ask.number, held(6))).size(), 1U);
+  EXPECT_FALSE(holder.state.is_held(campaign.at));
+  holder.state.answered(campaign.at, release.number, granted_reply(0));
+  const SentRequest again = next_request(holder.state);
+  EXPECT_EQ(actions_of<LeaseAcquired>(holder.state.answered(again.at, again.request.number, granted_reply(6)))
+                .size(),
+            1U);
 }
 
-TEST(Holder, CloseGivesBackAndEnds) {
-  Held it;
-  const auto actions = it.h.close(300 * kMs);
-  EXPECT_EQ(all<LeaseLost>(actions).front().reason, "closed");
-  const LeaseRequest release = ask(actions);
+TEST(LeaseState, CloseReleasesAndFinishes) {
+  Holder holder;
+  const auto actions = holder.state.close(300 * kMs);
+  EXPECT_EQ(actions_of<LeaseLost>(actions).front().reason, "closed");
+  const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
-  it.h.answered(310 * kMs, release.number, held(5));
-  EXPECT_EQ(it.h.next(), kNever);
+  holder.state.answered(310 * kMs, release.number, granted_reply(5));
+  EXPECT_EQ(holder.state.next(), kNever);
 
-  // Nobody answers: it ends once the lease has lapsed.
-  Held other;
-  other.h.close(300 * kMs);
+  // Without a reply it finishes once the lease has expired.
+  Holder unanswered;
+  unanswered.state.close(300 * kMs);
   Time at = 300 * kMs;
-  for (int i = 0; i < 100 && other.h.next() != kNever; ++i) {
-    at = other.h.next();
-    other.h.tick(at);
+  for (int i = 0; i < 100 && unanswered.state.next() != kNever; ++i) {
+    at = unanswered.state.next();
+    unanswered.state.tick(at);
   }
-  EXPECT_EQ(other.h.next(), kNever);
+  EXPECT_EQ(unanswered.state.next(), kNever);
   EXPECT_GE(at, 1'000 * kMs);
   EXPECT_LE(at, 1'600 * kMs);
 }
 
-TEST(Holder, CloseGivesBackWhatACampaignStillBrings) {
-  LeaseState h(settings());
-  const LeaseRequest first = ask(h.start(0));
-  EXPECT_TRUE(h.close(10 * kMs).empty());
-  const auto actions = h.answered(20 * kMs, first.number, held(5));
-  EXPECT_TRUE(all<LeaseAcquired>(actions).empty());
-  const LeaseRequest release = ask(actions);
+TEST(LeaseState, CloseReleasesGrantOfCampaignInFlight) {
+  LeaseState state(make_settings());
+  const LeaseRequest first = only_request(state.start(0));
+  EXPECT_TRUE(state.close(10 * kMs).empty());
+  const auto actions = state.answered(20 * kMs, first.number, granted_reply(5));
+  EXPECT_TRUE(actions_of<LeaseAcquired>(actions).empty());
+  const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(release.token, 5U);
-  EXPECT_FALSE(h.is_held(20 * kMs));
+  EXPECT_FALSE(state.is_held(20 * kMs));
 
-  LeaseState waiting(settings());
-  const LeaseRequest second = ask(waiting.start(0));
-  waiting.answered(1 * kMs, second.number, plain(LeaseReply::Kind::kQueued));
-  const LeaseRequest place = ask(waiting.close(10 * kMs));
+  LeaseState waiting(make_settings());
+  const LeaseRequest second = only_request(waiting.start(0));
+  waiting.answered(1 * kMs, second.number, make_reply(LeaseReply::Kind::kQueued));
+  const LeaseRequest place = only_request(waiting.close(10 * kMs));
   EXPECT_EQ(place.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(place.token, 0U);
 }
