--- a/registry/command.h
+++ b/registry/command.h
@@ -1,5 +1,5 @@
-// The commands of the registry's log and their results: plain data. Times are milliseconds of the log's
-// clock, which only commands carry (`now_ms`).
+// The commands of the registry's replicated log and their results: plain data. All times are milliseconds of
+// the log's clock, which advances only by the `now_ms` of commands.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace turntally::registry {
 
-// Of a change of the list: its index in the log, plus an offset that grows where a list begins anew. So
-// revisions only grow.
+// The revision of a change of the list: the log index of its command plus an offset, which is raised whenever
+// a new list begins. Revisions therefore only grow.
 using Revision = uint64_t;
 
 // States of an entry, as commands and snapshots store them.
 inline constexpr const char* kEntryActive = "active";
 inline constexpr const char* kEntryLeaving = "leaving";
 
-// An endpoint of the list.
+// An endpoint in the list.
 struct Entry {
   std::string id;
   std::string host_port;
@@ -29,57 +29,59 @@
   std::string state = kEntryActive;  // or kEntryLeaving; an entry that has left is removed
   double weight = 0;
   Millis up_since_ms = 0;
-  Millis ttl_ms = 0;      // registrations: to be renewed within this time; 0: stays until it is removed
-  Revision revision = 0;  // of its last change
-  std::string owner{};    // the source that it is mirrored from; empty: an operator or deployment
-  // Of mirrored entries: the source's state, and whether an operator drains it. `state` follows from both.
+  Millis ttl_ms = 0;      // registrations: must be renewed within this time; 0: stays until it is removed
+  Revision revision = 0;  // of the entry's last change
+  std::string owner{};    // the source that it is mirrored from; empty: an operator or a deployment owns it
+  // Mirrored entries only: the state reported by the source, and whether an operator drains the entry.
+  // `state` is derived from both.
   std::string source_state{};
   bool drained_by_operator = false;
   bool operator==(const Entry&) const = default;
 };
 
-// The new content of an id; nothing where it is removed.
+// The new content of the entry with this id.
 struct Mutation {
   std::string id;
-  std::optional<Entry> entry;
-  std::optional<Revision> if_match;  // only if its last change has this revision; 0: only if there is none
+  std::optional<Entry> entry;        // absent: the entry is removed
+  std::optional<Revision> if_match;  // required revision of the entry's last change; 0: it must not exist
 };
 
-// Which fields a kind uses besides now_ms, request and the fence:
+// A command. Every kind uses now_ms, idempotency_key and the fence; each kind's comment lists its other
+// fields.
 struct Command {
   // The log stores the numbers: they never change.
   enum class Kind {
-    kWrite,          // mutations: all or none
+    kWrite,          // mutations: applied all or none
     kRegister,       // one mutation, with an entry that has a TTL
-    kRenew,          // one mutation, by its id alone
-    kTick,           // text: the leader's hash of its state, in hexadecimal, at index `number`; or empty
-    kBootstrap,      // begins the list if there is none. text: its identity; number: the revision offset
-    kRestore,        // replaces the list; leases stand. As kBootstrap, and mutations: the whole list, and
-                     // without an entry the ids that are drained again should they come back
-    kMember,         // text: a member's HTTP address, empty where it is removed; number: its number
+    kRenew,          // one mutation with the id only
+    kTick,           // text: hash of the leader's state at log index `number`, in hexadecimal; or empty
+    kBootstrap,      // creates the list if there is none. text: its identity; number: the revision offset
+    kRestore,        // replaces the list; leases are kept. text and number as for kBootstrap; mutations: the
+                     // whole list, and without an entry the ids to drain again if they reappear
+    kMember,         // text: the member's HTTP address, empty to remove it; number: the member's number
     kLease,          // lease
-    kLeaderElected,  // the first command of each leader. number: the longest lease TTL, 0: unchanged
-    kMirror          // mutations: a source's changes. text: its name; number: the revision of its list
+    kLeaderElected,  // the first command of each leader. number: the maximum lease TTL, 0: unchanged
+    kMirror          // mutations: a source's changes. text: the source's name; number: its list's revision
   };
   Kind kind = Kind::kTick;
   Millis now_ms = 0;
-  std::string request;  // idempotency key; a request with the same key gets the first one's result
+  std::string request;  // a command with a key that was used before returns the first one's result
   std::vector<Mutation> mutations;
   std::string text;
   uint64_t number = 0;
   LeaseCommand lease = {};
-  std::string fence{};    // the lease under which this is written: without it nothing changes
-  Token fence_token = 0;  // its grant's
-  bool whole = false;     // kMirror: entries of the source that are not named have left
-  uint64_t serial = 0;    // kMirror: grows with each call of a grant, so that a stale one changes nothing
+  std::string fence{};    // if set, the command is applied only while this lease has the grant below
+  Token fence_token = 0;  // of that grant
+  bool whole = false;     // kMirror: entries of the source that are not named are removed
+  uint64_t serial = 0;    // kMirror: grows with each call under a grant; a call with a lower one is rejected
 };
 
 struct ApplyResult {
   // Snapshots store the numbers: they never change.
   enum class Kind { kApplied, kConflict, kUnknown, kFenced };
   Kind kind = Kind::kApplied;
-  // kApplied: of the change, or of the list where nothing changed. kConflict: of the entry, or the serial
-  // that a source is at. kFenced: the current grant's token, 0 where there is none.
+  // kApplied: revision of the change, or of the list if nothing changed. kConflict: revision of the entry, or
+  // the last serial of the source. kFenced: token of the current grant, 0 if there is none.
   Revision revision = 0;
   std::string id;                         // all but kApplied: of the entry, source or lease
   std::optional<LeaseResult> lease = {};  // kLease
--- a/registry/command_codec.cpp
+++ b/registry/command_codec.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Commands of versions without leases have no more fields.
+// Number of fields in commands of versions without leases.
 constexpr size_t kFieldsWithoutFence = 6;
 
 json encode_lease_command(const LeaseCommand& command) {
@@ -21,7 +21,7 @@
 LeaseCommand decode_lease_command(const json& fields) {
   const int kind = fields.at(0);
   if (kind < 0 || kind > static_cast<int>(LeaseCommand::Kind::kCheckpoint)) {
-    throw std::invalid_argument("no such call of a lease");
+    throw std::invalid_argument("unknown kind of lease command");
   }
   return {static_cast<LeaseCommand::Kind>(kind),
           fields.at(1),
@@ -75,7 +75,7 @@
   Command command;
   const int kind = fields.at(0);
   if (kind < 0 || kind > static_cast<int>(Command::Kind::kMirror)) {
-    throw std::invalid_argument("no such command");
+    throw std::invalid_argument("unknown kind of command");
   }
   command.kind = static_cast<Command::Kind>(kind);
   command.now_ms = fields.at(1);
--- a/registry/command_codec.h
+++ b/registry/command_codec.h
@@ -1,5 +1,5 @@
-// Commands as bytes of the log: CBOR, an array of fields in a fixed order. Logs of earlier versions, whose
-// arrays are shorter, stay readable. No state.
+// Encodes commands as the bytes of log entries: a CBOR array of fields in a fixed order. Also decodes the
+// shorter arrays that earlier versions wrote. No state.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace turntally::registry {
 
 std::string encode(const Command& command);
-// Throws std::exception on what is no command. Padding after it is ignored.
+// Throws std::exception if `bytes` do not begin with a command. Padding after the command is ignored.
 Command decode(const std::string& bytes);
 
 }  // namespace turntally::registry
--- a/registry/entry_codec.cpp
+++ b/registry/entry_codec.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kUnownedFields = 10;  // entries that are not mirrored have no more
+constexpr size_t kFieldsWithoutOwner = 10;  // in entries that are not mirrored
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 Entry decode_entry(const json& fields) {
   Entry entry{fields.at(0), fields.at(1), fields.at(2), fields.at(3), fields.at(4),
               fields.at(5), fields.at(6), fields.at(7), fields.at(8), fields.at(9)};
-  if (fields.size() > kUnownedFields) {
+  if (fields.size() > kFieldsWithoutOwner) {
     entry.owner = fields.at(10);
     entry.source_state = fields.at(11);
     entry.drained_by_operator = fields.at(12);
--- a/registry/expiry.cpp
+++ b/registry/expiry.cpp
@@ -10,7 +10,7 @@
 
 struct DueRegistrations {
   std::vector<std::string> to_expire;
-  std::vector<std::string> to_remove;  // expired `leave_ms` ago
+  std::vector<std::string> to_remove;  // expired `leaving_ms` ago
 };
 
 DueRegistrations find_due(const StateData& data) {
@@ -28,10 +28,10 @@
   while (!recent.empty() && recent.front() <= data.now - data.limits.expiry_window_ms) recent.pop_front();
 }
 
-bool too_many(const StateData& data, size_t due) {
+bool exceeds_expiry_limit(const StateData& data, size_t due_count) {
   const auto share =
       static_cast<size_t>(data.limits.max_expired_share * static_cast<double>(data.registrations.size()));
-  return data.recent_expirations.size() + due > std::max(data.limits.expired_always_allowed, share);
+  return data.recent_expirations.size() + due_count > std::max(data.limits.expired_always_allowed, share);
 }
 
 void expire(StateData& data, Revision revision, const std::string& id) {
@@ -48,7 +48,7 @@
 void expire_registrations(StateData& data, Revision revision) {
   drop_old_expirations(data);
   const DueRegistrations due = find_due(data);
-  data.expiry_paused = too_many(data, due.to_expire.size());
+  data.expiry_paused = exceeds_expiry_limit(data, due.to_expire.size());
   if (!data.expiry_paused) {
     for (const std::string& id : due.to_expire) expire(data, revision, id);
   }
--- a/registry/expiry.h
+++ b/registry/expiry.h
@@ -1,6 +1,6 @@
-// Expiry of registrations that were not renewed within their TTL: first they are listed as leaving, and
-// `leave_ms` later removed. Where too many would expire at once the fault is taken to be the registry's own,
-// not theirs: then nothing expires until they renew or fewer are due. No state of its own.
+// Expiry of registrations that were not renewed within their TTL: an expired entry is listed as leaving, and
+// removed `leaving_ms` later. If too many would expire at once, the registry itself is assumed to be at fault
+// and expiry pauses until they renew or fewer are due. No state of its own.
 #pragma once
 
 #include "registry/state_data.h"
--- a/registry/identity.h
+++ b/registry/identity.h
@@ -1,5 +1,5 @@
-// Names of lists and floors of their revisions. Uses the machine's random numbers and wall clock, which the
-// state machine must not.
+// Identities of new lists and lower bounds for their revisions. Reads random numbers and the wall clock,
+// which the deterministic state machine must not do.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace turntally::registry {
 
-// A name that no other list has: 64 random bits in hexadecimal.
+// Returns a unique identity for a list: 64 random bits in hexadecimal.
 std::string new_list_identity();
 
-// A revision that no earlier list has reached: milliseconds of the wall clock.
+// Returns a revision that no earlier list has reached: the wall clock in milliseconds.
 Revision revision_floor();
 
 }  // namespace turntally::registry
--- a/registry/leader_duties.cpp
+++ b/registry/leader_duties.cpp
@@ -16,7 +16,8 @@
     : member_(member), writes_(writes), timer_(member.io) {}
 
 void LeaderDuties::on_leader_elected() {
-  // Of the log alone: what this member read as a leader before may be ahead of what others did since.
+  // Starts from the log alone: the clock that this member read as an earlier leader may be ahead of the times
+  // that later leaders wrote.
   member_.clock.start(member_.state.now());
   election_committed_ = false;
   tick();
@@ -28,7 +29,7 @@
     if (!error) tick();
   });
   if (!member_.is_leader() || writes_.at_limit()) return;
-  if (!election_committed_) propose_election();  // before all else that this leader writes
+  if (!election_committed_) propose_election();  // must precede everything else that this leader writes
   if (member_.state.identity().empty()) propose_bootstrap();
   propose(Command::Kind::kTick);
   propose_member_addresses();
@@ -63,12 +64,12 @@
   const auto& configured = member_.config.members;
   for (const Peer& peer : member_.raft.members) {
     const MemberNumber number = member_number(peer.id);
-    const auto known = std::find_if(configured.begin(), configured.end(),
-                                    [&](const MemberAddress& one) { return one.number == number; });
-    if (known == configured.end() || member_.state.members().contains(number)) continue;
+    const auto address = std::find_if(configured.begin(), configured.end(),
+                                      [&](const MemberAddress& member) { return member.number == number; });
+    if (address == configured.end() || member_.state.members().contains(number)) continue;
     Command command = make_command(Command::Kind::kMember);
     command.now_ms = member_.clock.read();
-    command.text = known->http;
+    command.text = address->http;
     command.number = number;
     member_.replica->propose(command, ignore_result);
   }
--- a/registry/leader_duties.h
+++ b/registry/leader_duties.h
@@ -1,8 +1,8 @@
-// What the leader does every `tick_ms`, by level rather than by event: whatever is not as it should be is
-// proposed again at the next tick. Its election and longest lease TTL, the list's bootstrap, the time, the
-// members' HTTP addresses, and votes for members that have caught up.
+// Proposals that the leader makes every `tick_ms`: its election with the maximum lease TTL, the list's
+// bootstrap, the time, the members' HTTP addresses, and votes for members that have caught up. Each tick
+// compares the state with what it should be, so a proposal that failed is repeated at the next tick.
 //
-// Owns the timer and whether the log has this leader's election. Does nothing at other members.
+// Owns the timer and the flag that this leader's election is in the log. Does nothing on other members.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -16,8 +16,8 @@
  public:
   LeaderDuties(MemberState& member, const WriteRequests& writes);
 
-  void tick();               // and again every `tick_ms`
-  void on_leader_elected();  // this member leads from now on
+  void tick();               // schedules itself again after `tick_ms`
+  void on_leader_elected();  // this member has become the leader
 
  private:
   void propose(Command::Kind kind);
--- a/registry/lease_table.cpp
+++ b/registry/lease_table.cpp
@@ -12,9 +12,9 @@
 
 constexpr size_t kMaxNameLength = 200;
 constexpr Millis kNever = std::numeric_limits<Millis>::max();
-constexpr const char* kNextWaiter = "*";  // as a hand-over's target
+constexpr const char* kNextWaiter = "*";  // hand-over target: the next waiter, whichever it is
 
-// Reasons for the end of a grant, as snapshots and lease status have them.
+// Reasons for the end of a grant, as stored in snapshots and reported in the status of a lease.
 constexpr const char* kExpired = "expired";
 constexpr const char* kReleased = "released";
 constexpr const char* kHandedOver = "handed_over";
@@ -81,7 +81,7 @@
   }
 }
 
-// The queue first: a waiter that is gone gets nothing.
+// Removes expired waiters before the lease is granted, so that none of them gets it.
 void LeaseTable::tick_lease(Lease& lease, Now now) {
   std::erase_if(lease.queue, [&](const Lease::Waiter& waiter) { return waiter.until_ms <= now.time; });
   if (lease.queue.empty()) lease.handover_target.clear();
@@ -103,13 +103,14 @@
 }
 
 void LeaseTable::leader_elected(Millis now) {
-  // Never less than was promised, also where a holder's TTL has changed since.
+  // Never shortens a promised time, even if a holder's TTL has changed since.
   const auto extend = [now](Millis& until, Millis ttl) { until = std::max(until, now + ttl); };
   for (auto& [name, lease] : leases_) {
     if (!lease.holder.empty()) extend(lease.until_ms, lease.ttl_ms);
     for (Lease::Waiter& waiter : lease.queue) extend(waiter.until_ms, waiter.ttl_ms);
   }
-  // A grace period that was not over by the clock before is not over because this one is ahead.
+  // A grace period that had not ended by the previous leader's clock must not end early because this leader's
+  // clock is ahead.
   if (grace_period_end_ms_ != 0) extend(grace_period_end_ms_, limits_.max_ttl_ms);
 }
 
@@ -123,7 +124,7 @@
   return it == leases_.end() ? nullptr : &it->second;
 }
 
-// Where there is no room it replaces the lease that was free for longest and has no checkpoint.
+// If the table is full, replaces the free lease without a checkpoint whose last grant is the oldest.
 Lease* LeaseTable::create(const std::string& name) {
   if (leases_.size() >= limits_.max_leases) {
     auto oldest = leases_.end();
@@ -153,12 +154,12 @@
   if (lease == nullptr) lease = create(command.name);
   if (lease == nullptr) return refused(limits_.max_ttl_ms);
   if (!lease->holder.empty()) return enqueue(*lease, now, command);
-  // Then the queue is empty too: tick() has just been here.
+  // The queue is empty too: tick() has just granted any free lease to its next waiter.
   grant(*lease, now, command.holder, command.ttl_ms);
   return granted(*lease);
 }
 
-// A call that was late on its way must not take from what has been promised since.
+// Never shortens the grant: a call delayed in transit must not undo a later promise.
 LeaseResult LeaseTable::renew_by_campaign(Lease& lease, Now now, const LeaseCommand& command) {
   lease.ttl_ms = std::max(lease.ttl_ms, command.ttl_ms);
   lease.until_ms = std::max(lease.until_ms, now.time + lease.ttl_ms);
@@ -198,7 +199,7 @@
 }
 
 LeaseResult::Kind LeaseTable::request_handover(Lease& lease, const LeaseCommand& command) {
-  if (command.token != 0 && command.token != lease.token) return Kind::kFenced;  // it was for another grant
+  if (command.token != 0 && command.token != lease.token) return Kind::kFenced;  // meant for another grant
   if (lease.queue.empty()) return Kind::kUnknown;
   if (!command.to.empty() && find_waiter(lease, command.to) == lease.queue.end()) return Kind::kUnknown;
   lease.handover_target = command.to.empty() ? kNextWaiter : command.to;
@@ -214,7 +215,7 @@
 
 LeaseResult LeaseTable::apply(Token revision, Millis now_ms, const LeaseCommand& command) {
   const Now now{revision, now_ms};
-  tick(revision, now_ms);  // an expired grant is not renewed
+  tick(revision, now_ms);  // ends expired grants first, so that none is renewed
   if (command.kind == LeaseCommand::Kind::kCampaign) return campaign(now, command);
   LeaseResult result;
   Lease* const lease = find(command.name);
@@ -222,7 +223,8 @@
     result.kind = Kind::kUnknown;
     return result;
   }
-  // A token of this very revision is known to nobody yet: a guess ends no grant.
+  // A grant made by the tick above has this revision as its token, which no caller can know yet: a guessed
+  // token must not match it.
   const bool is_holder = !lease->holder.empty() && lease->holder == command.holder &&
                          lease->token == command.token && command.token < revision;
   switch (command.kind) {
--- a/registry/list_changes.cpp
+++ b/registry/list_changes.cpp
@@ -10,7 +10,7 @@
 
 constexpr size_t kMaxDrains = 10'000;
 
-// A revision goes as a whole: a watch never gets a part of what was written at once.
+// Drops whole revisions only, so that a watch never resumes in the middle of one command's changes.
 void compact(StateData& data) {
   auto& changes = data.changes;
   while (changes.size() > data.limits.kept_changes && changes.front().revision != data.revision) {
--- a/registry/list_commands.cpp
+++ b/registry/list_commands.cpp
@@ -55,7 +55,7 @@
   if (entry && entry->ttl_ms > 0) data.registrations[mutation.id] = data.now + entry->ttl_ms;
 }
 
-// Whether somebody else drains the entry: a registration does not end that.
+// Returns whether an operator, a deployment or a source drains the entry, which a registration does not end.
 bool is_drained(const StateData& data, const std::string& id) {
   const auto it = data.entries.find(id);
   if (it == data.entries.end() || it->second.state != kEntryLeaving || data.expired.contains(id))
@@ -86,7 +86,7 @@
     }
   }
   data.revision = revision;
-  data.compacted = revision;  // no watch goes on over it
+  data.compacted = revision;  // no watch resumes across the replacement
   data.changes.clear();
 }
 
@@ -117,7 +117,7 @@
   const auto it = data.entries.find(id);
   if (it == data.entries.end() || !data.registrations.contains(id)) return unknown(data, id);
   data.registrations[id] = data.now + it->second.ttl_ms;
-  if (data.expired.erase(id) > 0) {  // it was only late
+  if (data.expired.erase(id) > 0) {  // it expired only because its renewal was late
     Entry entry = it->second;
     entry.state = kEntryActive;
     set_entry(data, revision, id, entry);
@@ -135,7 +135,7 @@
 ApplyResult apply_bootstrap(StateData& data, uint64_t index, const Command& command) {
   if (data.identity.empty()) {
     replace_list(data, index, command);
-    data.leases.start_grace_period(data.now);  // holders of a table before may still act
+    data.leases.start_grace_period(data.now);  // holders under a previous table may still act
   }
   return applied(data);
 }
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -13,12 +13,12 @@
 using Members = std::map<std::string, json>;
 
 Members by_id(const json& members) {
-  Members out;
-  for (const json& one : members) out[one.at("id").get<std::string>()] = one;
-  return out;
+  Members result;
+  for (const json& member : members) result[member.at("id").get<std::string>()] = member;
+  return result;
 }
 
-json line_of(int64_t revision, bool complete, const std::string& identity, json members) {
+json make_line(int64_t revision, bool complete, const std::string& identity, json members) {
   return {{"revision", revision},
           {"complete", complete},
           {"identity", identity},
@@ -26,7 +26,7 @@
 }
 
 template <typename Read>
-void parse_or_throw(Read read) {
+void translate_json_errors(Read read) {
   try {
     read();
   } catch (const json::exception& error) {
@@ -34,52 +34,52 @@
   }
 }
 
-bool active(const json& member) { return member.at("phase") == "active"; }
+bool is_active(const json& member) { return member.at("phase") == "active"; }
 
 }  // namespace
 
-void ListGuard::merge(Members& into, const json& members) {
-  for (const json& one : members) {
-    const std::string id = one.at("id");
-    if (one.at("phase") == "left") {
-      into.erase(id);
+void ListGuard::merge(Members& target, const json& members) {
+  for (const json& member : members) {
+    const std::string id = member.at("id");
+    if (member.at("phase") == "left") {
+      target.erase(id);
     } else {
-      into[id] = one;
+      target[id] = member;
     }
   }
 }
 
-bool ListGuard::suspicious(const Members& members, const std::string& identity) const {
-  if (known_.empty()) return false;
-  const bool renamed = !identity_.empty() && identity != identity_;
-  if (renamed || members.empty()) return true;
+bool ListGuard::is_suspicious(const Members& members, const std::string& identity) const {
+  if (members_.empty()) return false;
+  const bool identity_changed = !identity_.empty() && identity != identity_;
+  if (identity_changed || members.empty()) return true;
   const auto removed = static_cast<size_t>(std::count_if(
-      known_.begin(), known_.end(), [&](const auto& one) { return !members.contains(one.first); }));
+      members_.begin(), members_.end(), [&](const auto& member) { return !members.contains(member.first); }));
   return removed > std::max(limits_.removed_always,
-                            static_cast<size_t>(limits_.most_removed * static_cast<double>(known_.size())));
+                            static_cast<size_t>(limits_.most_removed * static_cast<double>(members_.size())));
 }
 
-// Only what is said of an endpoint: that it is not named says nothing yet.
-std::vector<json> ListGuard::drains(const Members& members) {
-  json out = json::array();
-  for (auto& [id, member] : known_) {
+// Takes over the drains of known endpoints. An endpoint that is merely missing is not drained.
+std::vector<json> ListGuard::extract_drains(const Members& members) {
+  json drained = json::array();
+  for (auto& [id, member] : members_) {
     const auto it = members.find(id);
-    if (it == members.end() || active(it->second) || !active(member)) continue;
+    if (it == members.end() || is_active(it->second) || !is_active(member)) continue;
     member = it->second;
-    out.push_back(member);
+    drained.push_back(member);
   }
-  if (out.empty()) return {};
-  return {line_of(revision_, false, identity_, std::move(out))};
+  if (drained.empty()) return {};
+  return {make_line(revision_, false, identity_, std::move(drained))};
 }
 
 std::vector<json> ListGuard::accept(UnconfirmedList list) {
   unconfirmed_.reset();
   revision_ = list.revision;
   identity_ = list.identity;
-  known_ = std::move(list.members);
-  json all = json::array();
-  for (const auto& [id, member] : known_) all.push_back(member);
-  return {line_of(revision_, true, identity_, std::move(all))};
+  members_ = std::move(list.members);
+  json entries = json::array();
+  for (const auto& [id, member] : members_) entries.push_back(member);
+  return {make_line(revision_, true, identity_, std::move(entries))};
 }
 
 std::vector<json> ListGuard::on_line(const json& line, const std::string& source, Millis now) {
@@ -87,50 +87,50 @@
   list.source = source;
   list.since = now;
   bool complete = false;
-  parse_or_throw([&] {
+  translate_json_errors([&] {
     list.revision = line.at("revision");
     complete = line.at("complete");
     list.identity = line.value("identity", "");
     list.members = by_id(line.at("members"));
     for (const auto& [id, member] : list.members) {
-      if (!member.at("phase").is_string()) throw ListUnreadable("phase of '" + id + "' is no text");
+      if (!member.at("phase").is_string()) throw ListUnreadable("phase of '" + id + "' is not a string");
     }
   });
   return complete ? on_complete_list(std::move(list)) : on_changes(line, list);
 }
 
-// Changes follow the list that waits for confirmation, or the known one.
+// Applies changes to the unconfirmed list if they come from its source, else to the accepted list.
 std::vector<json> ListGuard::on_changes(const json& line, const UnconfirmedList& changes) {
   const json& members = line.at("members");
   if (unconfirmed_ && unconfirmed_->source == changes.source) {
     merge(unconfirmed_->members, members);
     unconfirmed_->revision = std::max(unconfirmed_->revision, changes.revision);
-    return drains(changes.members);
+    return extract_drains(changes.members);
   }
-  if (changes.identity != identity_ || changes.revision < revision_) return drains(changes.members);
-  unconfirmed_.reset();  // a member goes on from what is known
+  if (changes.identity != identity_ || changes.revision < revision_) return extract_drains(changes.members);
+  unconfirmed_.reset();  // this member continues the accepted list
   if (members.empty() && changes.revision == revision_) return {};
   revision_ = changes.revision;
-  merge(known_, members);
+  merge(members_, members);
   return {line};
 }
 
 std::vector<json> ListGuard::on_complete_list(UnconfirmedList list) {
   const bool is_stale = list.identity == identity_ && list.revision < revision_;
-  if (is_stale) return drains(list.members);
-  if (!suspicious(list.members, list.identity)) return accept(std::move(list));
+  if (is_stale) return extract_drains(list.members);
+  if (!is_suspicious(list.members, list.identity)) return accept(std::move(list));
   const bool same_identity = unconfirmed_ && unconfirmed_->identity == list.identity;
-  // Another member, with the same list or a later one of it.
+  // Another member confirms it with the same or a later revision.
   if (same_identity && unconfirmed_->source != list.source && list.revision >= unconfirmed_->revision) {
     return accept(std::move(list));
   }
   if (same_identity) {
-    list.since = unconfirmed_->since;  // its time runs on, whichever member repeats it
+    list.since = unconfirmed_->since;  // the hold time continues, whichever member repeats the list
   } else {
     ++unconfirmed_total_;
   }
   unconfirmed_ = std::move(list);
-  return drains(unconfirmed_->members);
+  return extract_drains(unconfirmed_->members);
 }
 
 std::vector<json> ListGuard::tick(Millis now) {
@@ -139,14 +139,14 @@
 }
 
 json ListGuard::save() const {
-  json all = json::array();
-  for (const auto& [id, member] : known_) all.push_back(member);
-  return line_of(revision_, true, identity_, std::move(all));
+  json entries = json::array();
+  for (const auto& [id, member] : members_) entries.push_back(member);
+  return make_line(revision_, true, identity_, std::move(entries));
 }
 
 json ListGuard::restore(const json& saved) {
   UnconfirmedList list;
-  parse_or_throw([&] {
+  translate_json_errors([&] {
     list = {"", 0, saved.at("revision"), saved.at("identity"), by_id(saved.at("members"))};
   });
   return accept(std::move(list)).front();
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -1,8 +1,8 @@
-// What a relay lets a list do to it: a core without I/O or clock. The last list known is good until a newer
-// one has earned its place: one that comes whole and would take much away at once, an empty one, or one of
-// another name may be the registry's fault, so it is held until a second member says the same or a set time
-// has passed. A drain is heeded at once, whoever tells it: heeding a wrong one costs a little, missing a
-// right one breaks the rules.
+// Protects a relay from a faulty registry's list: a core without I/O or clock. It keeps the last accepted
+// list. A complete list that would remove many endpoints at once, is empty or has another identity may be the
+// registry's fault: it is held back until a second member confirms it or `hold_ms` have passed. Drains are
+// passed on at once, whichever member reports them: a needless drain costs little, a missed one breaks the
+// delivery rules.
 #pragma once
 
 #include <cstdint>
@@ -20,28 +20,31 @@
 class ListGuard {
  public:
   struct Limits {
-    double most_removed = 0.3;  // of what is known, at once
-    size_t removed_always = 2;  // but so many always may
-    Millis hold_ms = 30'000;
+    double most_removed = 0.3;  // of the known endpoints, removed by one list without confirmation
+    size_t removed_always = 2;  // this many removals never need confirmation
+    Millis hold_ms = 30'000;    // how long an unconfirmed list is held back
   };
   explicit ListGuard(Limits limits) : limits_(limits) {}
 
-  // A line of a watch, as discovery writes them, from a source that has a name. Returns the lines to heed, in
-  // order; throws ListUnreadable on what is no line: nothing of it is heeded.
+  // Processes a line of a watch on the member `source`, in discovery's format. Returns the lines to apply, in
+  // order. Throws ListUnreadable if the line is malformed; then none of it is applied.
   std::vector<nlohmann::json> on_line(const nlohmann::json& line, const std::string& source, Millis now);
+  // Returns the lines to apply if the unconfirmed list has been held back for `hold_ms`.
   std::vector<nlohmann::json> tick(Millis now);
 
-  // What to request; -1: the whole list.
+  // The revision to resume a watch from; -1: request the complete list.
   int64_t revision() const { return revision_; }
   const std::string& identity() const { return identity_; }
-  const std::map<std::string, nlohmann::json>& known() const { return known_; }  // by id
+  const std::map<std::string, nlohmann::json>& known() const { return members_; }  // endpoints by id
   bool holds() const { return unconfirmed_.has_value(); }
-  const std::string& holder() const { return unconfirmed_->source; }  // the source of the list that is held
-  uint64_t held_total() const { return unconfirmed_total_; }
+  // The source of the unconfirmed list, which must exist.
+  const std::string& holder() const { return unconfirmed_->source; }
+  uint64_t held_total() const { return unconfirmed_total_; }  // lists held back so far
 
-  // To keep on disk. restore() throws ListUnreadable on what is none; it is passed on as a list like any
-  // other. With an empty identity it may be of any list.
+  // Returns the accepted list, to be stored on disk.
   nlohmann::json save() const;
+  // Accepts a saved list and returns it as a line. Throws ListUnreadable if it is malformed. A saved list
+  // with an empty identity may be of any list.
   nlohmann::json restore(const nlohmann::json& saved);
 
  private:
@@ -53,17 +56,17 @@
     std::map<std::string, nlohmann::json> members;
   };
 
-  bool suspicious(const std::map<std::string, nlohmann::json>& members, const std::string& identity) const;
-  std::vector<nlohmann::json> drains(const std::map<std::string, nlohmann::json>& members);
+  bool is_suspicious(const std::map<std::string, nlohmann::json>& members, const std::string& identity) const;
+  std::vector<nlohmann::json> extract_drains(const std::map<std::string, nlohmann::json>& members);
   std::vector<nlohmann::json> on_changes(const nlohmann::json& line, const UnconfirmedList& changes);
   std::vector<nlohmann::json> on_complete_list(UnconfirmedList list);
   std::vector<nlohmann::json> accept(UnconfirmedList list);
-  static void merge(std::map<std::string, nlohmann::json>& into, const nlohmann::json& members);
+  static void merge(std::map<std::string, nlohmann::json>& target, const nlohmann::json& members);
 
   Limits limits_;
   int64_t revision_ = -1;
   std::string identity_;
-  std::map<std::string, nlohmann::json> known_;
+  std::map<std::string, nlohmann::json> members_;
   std::optional<UnconfirmedList> unconfirmed_;
   uint64_t unconfirmed_total_ = 0;
 };
--- a/registry/member_id.h
+++ b/registry/member_id.h
@@ -1,5 +1,5 @@
-// The ids of members. The configuration names a member by a number from 1 to 999; the log knows it by an id
-// that is never used twice: the number, plus 1000 times the index of the log at which it joined again.
+// The ids of members. The configuration identifies a member by a number from 1 to 999. The log uses an id
+// that is never used twice: the number, plus 1000 times the log index at which the member joined again.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 namespace turntally::registry {
 
 using MemberNumber = uint64_t;  // 1 to 999; 0: none
-using MemberId = uint64_t;      // of the log; 0: none
+using MemberId = uint64_t;      // the id in the log; 0: none
 
-constexpr uint64_t kMemberNumberLimit = 1000;  // numbers are below it
+constexpr uint64_t kMemberNumberLimit = 1000;  // exclusive upper bound of member numbers
 
 constexpr MemberNumber member_number(MemberId id) { return id % kMemberNumberLimit; }
 
-// The id of a member that joins a log whose last entry has index `last_index`.
+// Returns the id of a member that joins a log whose last entry has index `last_index`.
 constexpr MemberId rejoined_member_id(MemberNumber number, uint64_t last_index) {
   return number + kMemberNumberLimit * (last_index + 1);
 }
--- a/registry/mirroring.cpp
+++ b/registry/mirroring.cpp
@@ -11,7 +11,8 @@
 
 constexpr Millis kAbandonedSourceAge = 600'000;
 
-// The lease keeps the calls of two holders apart; those of one holder may overtake each other on their way.
+// Detects calls under one grant that overtook each other in transit; the fencing token rejects calls under
+// earlier grants.
 bool is_stale(const StateData& data, const Command& command) {
   const auto source = data.sources.find(command.text);
   return command.serial != 0 && source != data.sources.end() && source->second.token == command.fence_token &&
--- a/registry/raft_log.cpp
+++ b/registry/raft_log.cpp
@@ -9,17 +9,17 @@
 namespace turntally::registry {
 namespace {
 
-constexpr uint64_t kPollMs = 20;  // how often the status is read
+constexpr uint64_t kPollMs = 20;  // interval of reading the status
 constexpr unsigned kConnectRetryMs = 200;
-constexpr uint64_t kFinalWritesMs = 5000;  // how long writes in flight are waited for at an orderly end
+constexpr uint64_t kFinalWritesMs = 5000;  // maximum wait for writes in flight at an orderly stop
 
-// libraft's functions have the names of their requests.
+// Names for libraft's request types, which have the names of its functions.
 using ApplyRequest = struct raft_apply;
 using BarrierRequest = struct raft_barrier;
 using TransferRequest = struct raft_transfer;
 
-// libraft reads back what it wrote in steps of 8 bytes; CBOR itself says where it ends. `base` is null where
-// there is no memory.
+// Copies `bytes` into a buffer padded to a multiple of 8 bytes, as libraft reads its data back in steps of 8;
+// CBOR marks its own end. `base` is null if memory is exhausted.
 raft_buffer to_buffer(const std::string& bytes) {
   const size_t size = (bytes.size() + 7) / 8 * 8;
   raft_buffer buffer{raft_calloc(1, size), size};
@@ -81,10 +81,10 @@
 }
 
 int RaftLog::open_transport() {
-  const std::string& listen = loop_.settings().listen;
+  const std::string& address = loop_.settings().listen;
   int failed = raft_uv_tcp_init(&transport_, &uv_loop_);
   if (failed != 0) return failed;
-  if (!listen.empty()) failed = raft_uv_tcp_set_bind_address(&transport_, listen.c_str());
+  if (!address.empty()) failed = raft_uv_tcp_set_bind_address(&transport_, address.c_str());
   if (failed != 0) return failed;
   raft_connect_ = transport_.connect;
   transport_.connect = &RaftLog::connect;
@@ -136,7 +136,7 @@
   }
   if (failed == 0) failed = raft_bootstrap(&raft_, &configuration);
   raft_configuration_close(&configuration);
-  return failed == RAFT_CANTBOOTSTRAP ? 0 : failed;  // there is a log already
+  return failed == RAFT_CANTBOOTSTRAP ? 0 : failed;  // a log exists already
 }
 
 std::string RaftLog::open_error(int code) {
@@ -168,9 +168,9 @@
   RaftLog& self = *current_;
   const Append append = self.appends_.extract(request).mapped();
   if (status != 0 && status != RAFT_CANCELED) self.close(error_text(status, self.io_.errmsg));
-  // A leader of libraft 0.15 that learns of a write that failed may look for its requests where there are
-  // none any more, and ends in a segmentation fault. It does not learn of it: the log is closed, which ends
-  // those requests too. The memory of the write, a few kilobytes, is lost until the process ends.
+  // When a write of a leader fails, libraft 0.15 may look up requests that no longer exist and crash with a
+  // segmentation fault. So a leader's callback is not called; closing the log ends its requests too. The
+  // memory of that write, a few kilobytes, leaks until the process ends.
   if (status == 0 || !append.as_leader) append.callback(request, status);
 }
 
@@ -188,7 +188,7 @@
   try {
     self.state_.restore(to_bytes(*buffer));
   } catch (const std::exception& error) {
-    self.report_divergence(std::string("a snapshot cannot be read: ") + error.what());
+    self.report_divergence(std::string("cannot decode a snapshot: ") + error.what());
     return RAFT_MALFORMED;
   }
   raft_free(buffer->base);
@@ -203,7 +203,7 @@
   try {
     command = decode(to_bytes(buffer));
   } catch (const std::exception& error) {
-    report_divergence("entry " + std::to_string(index) + " of the log cannot be read: " + error.what());
+    report_divergence("cannot decode log entry " + std::to_string(index) + ": " + error.what());
     return RAFT_MALFORMED;
   }
   if (const auto divergence = state_.find_divergence(command)) report_divergence(*divergence);
@@ -219,8 +219,8 @@
                    const Replica::Listener& listener) { listener.restored(index, state); });
 }
 
-void RaftLog::report_divergence(const std::string& what) {
-  loop_.notify([what](const Replica::Listener& listener) { listener.diverged(what); });
+void RaftLog::report_divergence(const std::string& description) {
+  loop_.notify([description](const Replica::Listener& listener) { listener.diverged(description); });
 }
 
 void RaftLog::poll() {
@@ -250,8 +250,9 @@
   return status;
 }
 
-// Not from within a callback of libraft's own: closing frees what it stands on. At an orderly end the disk
-// first finishes its writes: a leader's write that closing cancels is lost as one that failed is.
+// Starts to close the log. The timer calls finish_close(), because closing within a callback of libraft would
+// free objects that the callback still uses. At an orderly stop, writes in flight are finished first: a
+// leader's write that closing cancels is lost like a failed one.
 void RaftLog::close(const std::string& reason) {
   if (closing_) return;
   closing_ = true;
@@ -265,7 +266,7 @@
 }
 
 void RaftLog::finish_close() {
-  if (!appends_.empty() && uv_now(&uv_loop_) < close_deadline_) return;  // called again
+  if (!appends_.empty() && uv_now(&uv_loop_) < close_deadline_) return;  // the timer calls this again
   uv_close(reinterpret_cast<uv_handle_t*>(&timer_), nullptr);
   if (initialized_) raft_close(&raft_, nullptr);
 }
@@ -282,19 +283,19 @@
       return;
     case Kind::kAddMember:
       return change_members(task, [&](raft_change* request, raft_change_cb callback) {
-        return raft_add(&raft_, request, task.id, task.address.c_str(), callback);
+        return raft_add(&raft_, request, task.member_id, task.address.c_str(), callback);
       });
     case Kind::kPromoteMember:
       return change_members(task, [&](raft_change* request, raft_change_cb callback) {
-        return raft_assign(&raft_, request, task.id, RAFT_VOTER, callback);
+        return raft_assign(&raft_, request, task.member_id, RAFT_VOTER, callback);
       });
     case Kind::kRemoveMember:
       return change_members(task, [&](raft_change* request, raft_change_cb callback) {
-        return raft_remove(&raft_, request, task.id, callback);
+        return raft_remove(&raft_, request, task.member_id, callback);
       });
     case Kind::kTransferLeadership:
       send<TransferRequest>(task.ticket, [&](TransferRequest* request) {
-        return ::raft_transfer(&raft_, request, task.id,
+        return ::raft_transfer(&raft_, request, task.member_id,
                                [](TransferRequest* done) { on_completed(done, 0); });
       });
       return;
@@ -330,7 +331,7 @@
   if (failed != 0) change_in_flight_ = false;
 }
 
-// libraft either refuses a request at once or completes it, once.
+// Sends a request, which libraft either refuses at once or completes exactly once.
 template <typename Request>
 int RaftLog::send(uint64_t ticket, const std::function<int(Request*)>& call) {
   auto* request = new Request{};
@@ -344,10 +345,10 @@
 void RaftLog::on_completed(Request* request, int status) {
   const std::unique_ptr<Request> owned(request);
   const std::unique_ptr<uint64_t> ticket(static_cast<uint64_t*>(request->data));
-  current_->loop_.complete(*ticket, current_->result_of(status));
+  current_->loop_.complete(*ticket, current_->to_result(status));
 }
 
-ProposalResult RaftLog::result_of(int status) const {
+ProposalResult RaftLog::to_result(int status) const {
   switch (status) {
     case 0:
       return {ProposalOutcome::kDone, state_.last_result(), ""};
--- a/registry/raft_log.h
+++ b/registry/raft_log.h
@@ -1,10 +1,11 @@
 // The replicated log while it is open: libraft's objects on a libuv loop of their own, with libraft's disk
-// log and TCP transport. Owned by RaftLoop, and used in its thread; at most one a thread.
+// log and TCP transport. Owned by RaftLoop and used only on its thread; at most one exists per thread.
 #pragma once
 
 #include <uv.h>
 
-// Its headers are plain C. What they include comes first, outside of the braces.
+// libraft's headers are plain C without `extern "C"`. The headers that they include must come before this
+// block.
 extern "C" {
 #include <raft.h>
 #include <raft/uv.h>
@@ -25,9 +26,9 @@
   RaftLog(const RaftLog&) = delete;
   RaftLog& operator=(const RaftLog&) = delete;
 
-  // Runs until it is stopped, or fails: returns the reason, or nothing.
+  // Runs the log until it is stopped or fails. Returns the reason of the failure; empty after a stop.
   std::string run();
-  void wake() { uv_async_send(&wake_); }  // any thread
+  void wake() { uv_async_send(&wake_); }  // may be called from any thread
 
  private:
   // A write to disk in flight.
@@ -36,7 +37,7 @@
     bool as_leader = false;
   };
 
-  // Opening. Each returns libraft's code, 0 for success.
+  // These open the log. Each returns libraft's error code, 0 for success.
   int open();
   int open_transport();
   int open_storage();
@@ -51,19 +52,19 @@
                     raft_io_append_cb callback);
   static void on_appended(raft_io_append* request, int status);
 
-  // libraft's state machine.
+  // Callbacks of libraft's state machine.
   static int take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count);
   static int restore(raft_fsm* fsm, raft_buffer* buffer);
   int apply(const raft_buffer& buffer);
   void publish_restored();
-  void report_divergence(const std::string& what);
+  void report_divergence(const std::string& description);
 
   void poll();
   RaftStatus read_status();
   void close(const std::string& reason);
   void finish_close();
 
-  // Requests to libraft, each completed by its ticket.
+  // Requests to libraft. Each is completed through its ticket.
   void execute(RaftLoop::Task& task);
   void propose(RaftLoop::Task& task);
   void change_members(const RaftLoop::Task& task,
@@ -72,15 +73,15 @@
   int send(uint64_t ticket, const std::function<int(Request*)>& call);
   template <typename Request>
   static void on_completed(Request* request, int status);
-  ProposalResult result_of(int status) const;
+  ProposalResult to_result(int status) const;
 
-  // libraft's callbacks have no pointer of ours: the log of this thread.
+  // The log of this thread: libraft passes no user pointer to its callbacks.
   static thread_local RaftLog* current_;
 
   RaftLoop& loop_;
   ReplicatedState state_;
-  bool restored_ = false;          // from a snapshot, which is not published yet
-  bool change_in_flight_ = false;  // one change of the members at a time
+  bool restored_ = false;          // a restored snapshot has not been published yet
+  bool change_in_flight_ = false;  // a change of the members is in flight; one at a time
 
   uv_loop_t uv_loop_{};
   uv_async_t wake_{};
@@ -91,10 +92,10 @@
   raft raft_{};
   bool initialized_ = false;  // raft_init has been called
   bool closing_ = false;
-  uint64_t close_deadline_ = 0;  // milliseconds of the loop's time
+  uint64_t close_deadline_ = 0;  // by the libuv loop's clock, in milliseconds
   std::string close_reason_;
 
-  // libraft does not say when its disk has failed: calls to these functions of its own are intercepted.
+  // libraft's own functions, whose calls are intercepted because libraft does not report a failed disk.
   decltype(raft_io::append) raft_append_ = nullptr;
   decltype(raft_uv_transport::connect) raft_connect_ = nullptr;
   std::unordered_map<raft_io_append*, Append> appends_;
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -1,9 +1,10 @@
-// One member's part in the replicated log: libraft (Raft: Ongaro and Ousterhout 2014) with its own disk log,
-// snapshots and transport, in a thread of its own (raft_loop.h, raft_log.h). Nothing of it is shared with the
-// caller's thread: proposals go in by one queue, applied entries come out by another, in the log's order.
+// One member's replica of the log: libraft (Raft: Ongaro and Ousterhout 2014) with its own disk log,
+// snapshots and transport, on a thread of its own (raft_loop.h, raft_log.h). It shares no state with the
+// caller's thread: proposals go in through one queue, applied entries come out through another, in the log's
+// order.
 //
-// A member whose disk fails closes the log, reports that, and opens it again until that works; what the
-// caller was notified of stays true meanwhile.
+// If the disk fails, the member closes the log, reports that, and retries until the log opens again; entries
+// that the caller was notified of remain valid.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,48 +22,48 @@
 
 struct Peer {
   uint64_t id = 0;
-  std::string address;  // "127.0.0.1:7201"
+  std::string address;  // such as "127.0.0.1:7201"
   bool voter = true;
   bool operator==(const Peer&) const = default;
 };
 
 struct ReplicaSettings {
   uint64_t id = 0;
-  std::string address;  // as the other members know it
-  std::string listen;   // where it listens; empty: `address`
+  std::string address;  // at which the other members reach this one
+  std::string listen;   // to bind to; empty: `address`
   std::string folder;   // must exist
-  // The members of a log that begins here; empty: it joins one, or has one.
+  // The members of a new log; empty: the member joins an existing log or already has one.
   std::vector<Peer> bootstrap_members;
-  std::map<std::string, std::string> dial_overrides;  // addresses to connect to in place of others
+  std::map<std::string, std::string> dial_overrides;  // members' addresses, and those to connect to instead
   Limits limits;
-  // Milliseconds. A leader without contact for one to two of these is replaced.
+  // In milliseconds. A leader that has no contact for one to two times this long is replaced.
   unsigned election_ms = 500;
   unsigned heartbeat_ms = 50;
-  unsigned snapshot_threshold = 4096;  // entries of the log
-  unsigned snapshot_trailing = 1024;   // entries kept behind a snapshot for members that lag a little
-  uint64_t hash_interval = 1024;       // entries between two hashes of the state
+  unsigned snapshot_threshold = 4096;  // log entries between two snapshots
+  unsigned snapshot_trailing = 1024;   // log entries kept after a snapshot for members that lag a little
+  uint64_t hash_interval = 1024;       // log entries between two hashes of the state
 };
 
 enum class ProposalOutcome {
   kDone,
   kNotLeader,  // nothing was written
-  kUnknown,    // leadership was lost or the log closed: it may still be applied
+  kUnknown,    // leadership was lost or the log closed: the command may still be applied
   kRefused     // nothing was written; `reason` says why
 };
 
 struct ProposalResult {
   ProposalOutcome outcome = ProposalOutcome::kDone;
-  ApplyResult applied;  // kDone, of a command
+  ApplyResult applied;  // kDone, if a command was proposed
   std::string reason;   // all but kDone
 };
 
 struct RaftStatus {
   enum class Role { kDown, kFollower, kCandidate, kLeader };
   Role role = Role::kDown;
-  uint64_t leader = 0;  // its id; 0: none is known
+  uint64_t leader = 0;  // 0: no leader is known
   uint64_t term = 0;
   uint64_t last_index = 0;     // of the log
-  uint64_t applied_index = 0;  // of the last entry that was applied
+  uint64_t applied_index = 0;  // of the last applied entry
   std::vector<Peer> members;
   bool operator==(const RaftStatus&) const = default;
 };
@@ -70,26 +71,26 @@
 
 class Replica {
  public:
-  // All called in the caller's io_context.
+  // All callbacks run on the caller's io_context.
   struct Listener {
     std::function<void(uint64_t index, const Command&, const ApplyResult&)> applied;
-    std::function<void(uint64_t index, State)> restored;  // replaces everything before
+    std::function<void(uint64_t index, State)> restored;  // replaces the whole earlier state
     std::function<void(const RaftStatus&)> status_changed;
-    std::function<void(const std::string& reason)> log_closed;  // it will be opened again
-    std::function<void(const std::string& what)> diverged;      // this member's state is not the leader's
+    std::function<void(const std::string& reason)> log_closed;     // it will be reopened
+    std::function<void(const std::string& description)> diverged;  // this member's state is not the leader's
   };
   using Done = std::function<void(const ProposalResult&)>;
 
   // Starts the thread.
   Replica(boost::asio::io_context& io, ReplicaSettings settings, Listener listener);
-  ~Replica();  // closes the log and waits for that; nothing is called any more
+  ~Replica();  // closes the log and waits until it is closed; no callback runs afterwards
 
   void propose(const Command& command, Done done);
-  void barrier(Done done);  // done once all that was committed before has been applied and notified
+  void barrier(Done done);  // completes once all entries committed before it are applied and notified
   void add_member(uint64_t id, const std::string& address, Done done);  // without a vote
-  void promote_member(uint64_t id, Done done);                          // gives it one once it has caught up
+  void promote_member(uint64_t id, Done done);  // gives it a vote once it has caught up
   void remove_member(uint64_t id, Done done);
-  void transfer_leadership(uint64_t id, Done done);  // 0: to any other
+  void transfer_leadership(uint64_t id, Done done);  // 0: to any other member
 
  private:
   std::shared_ptr<RaftLoop> loop_;
--- a/registry/replicated_state.cpp
+++ b/registry/replicated_state.cpp
@@ -5,7 +5,7 @@
 namespace turntally::registry {
 namespace {
 
-constexpr size_t kKeptHashes = 8;
+constexpr size_t kMaxHashes = 8;
 
 }  // namespace
 
@@ -13,7 +13,7 @@
   last_result_ = state_.apply(index, command);
   if (index % hash_interval_ != 0) return;
   hashes_[index] = state_.hash();
-  if (hashes_.size() > kKeptHashes) hashes_.erase(hashes_.begin());
+  if (hashes_.size() > kMaxHashes) hashes_.erase(hashes_.begin());
 }
 
 std::optional<std::string> ReplicatedState::find_divergence(const Command& command) const {
--- a/registry/replicated_state.h
+++ b/registry/replicated_state.h
@@ -1,5 +1,5 @@
-// The state machine as libraft's loop drives it: applies encoded entries in the log's order, keeps hashes of
-// the state, and compares them with the leader's. Owned by RaftLog, in the loop's thread.
+// Drives the state machine from libraft's loop: applies commands in the log's order, keeps hashes of the
+// state, and compares them with the leader's. Owned by RaftLog and used on the loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,19 @@
 
 class ReplicatedState {
  public:
-  // `hash_interval`: entries between two hashes.
+  // `hash_interval`: log entries between two hashes.
   ReplicatedState(const Limits& limits, uint64_t hash_interval)
       : state_(limits), hash_interval_(hash_interval) {}
 
   // Applies the entry at `index`; its result is last_result().
   void apply(uint64_t index, const Command& command);
-  // What is wrong where a tick's hash of the leader's state is not this member's; nothing where it is, or
-  // where the hash of that index is not kept.
+  // Returns a description if a tick carries a hash of the leader's state that differs from this member's at
+  // the same index. Returns nothing if they agree or the hash of that index is not kept.
   std::optional<std::string> find_divergence(const Command& command) const;
-  // Puts the newest hash into a tick that has none.
+  // Adds the newest hash to a tick that has none.
   void add_hash(Command& command) const;
 
-  // Throws std::exception on what is no snapshot.
+  // Throws std::exception if `snapshot` cannot be decoded.
   void restore(const std::string& snapshot) { state_ = State::restore(snapshot); }
   const State& state() const { return state_; }
   const ApplyResult& last_result() const { return last_result_; }
--- a/registry/snapshot.cpp
+++ b/registry/snapshot.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr int kFormatWithoutLeases = 1;  // nor sources
+constexpr int kFormatWithoutLeases = 1;  // and without sources
 constexpr int kFormat = 2;
 
 json encode_limits(const Limits& limits) {
@@ -63,7 +63,7 @@
   return sources;
 }
 
-// Sources of earlier versions have no token and serial.
+// Decodes a source; snapshots of earlier versions have no token and serial.
 Source decode_source(const json& fields) {
   Source source{fields.at(0), fields.at(1), 0, 0};
   if (fields.size() > 3) {
@@ -115,7 +115,7 @@
   const json fields = from_cbor_bytes(bytes);
   const json& format = fields.at(0);
   if (format != kFormatWithoutLeases && format != kFormat) {
-    throw std::invalid_argument("a snapshot of format " + format.dump() + "; this program reads 1 and " +
+    throw std::invalid_argument("unsupported snapshot format " + format.dump() + ", expected 1 or " +
                                 std::to_string(kFormat));
   }
   StateData data;
--- a/registry/snapshot.h
+++ b/registry/snapshot.h
@@ -1,5 +1,5 @@
-// The state machine's data as bytes: CBOR, an array of a format number and fields in a fixed order. Equal
-// data give equal bytes, so that members can compare hashes. No state.
+// Encodes the state machine's data as bytes: a CBOR array of a format number and fields in a fixed order.
+// Equal data give equal bytes, so members can compare hashes. No state.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace turntally::registry {
 
 std::string encode_snapshot(const StateData& data);
-// Reads formats 1 and 2. Throws std::exception on anything else; padding after the snapshot is ignored.
+// Reads formats 1 and 2. Throws std::exception on any other input. Padding after the snapshot is ignored.
 StateData decode_snapshot(const std::string& bytes);
 
 }  // namespace turntally::registry
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -11,10 +11,10 @@
 
 namespace turntally::registry {
 
-void remember_result(StateData& data, const std::string& request, const ApplyResult& result) {
-  if (request.empty()) return;
-  data.request_results[request] = result;
-  data.request_order.push_back(request);
+void remember_result(StateData& data, const std::string& idempotency_key, const ApplyResult& result) {
+  if (idempotency_key.empty()) return;
+  data.request_results[idempotency_key] = result;
+  data.request_order.push_back(idempotency_key);
   while (data.request_order.size() > data.limits.kept_requests) {
     data.request_results.erase(data.request_order.front());
     data.request_order.pop_front();
@@ -23,20 +23,20 @@
 
 ApplyResult State::apply(uint64_t index, const Command& command) {
   const Revision revision = data_.revision_offset + index;
-  data_.now = std::max(data_.now, command.now_ms);  // a new leader's clock may be behind
+  data_.now = std::max(data_.now, command.now_ms);  // a new leader's clock may be behind the log
   if (!command.request.empty()) {
     const auto earlier = data_.request_results.find(command.request);
     if (earlier != data_.request_results.end()) return earlier->second;
   }
   if (!command.fence.empty()) {
-    data_.leases.tick(revision, data_.now);  // an expired grant fences too
+    data_.leases.tick(revision, data_.now);  // an expired grant must not pass the fence
     if (!data_.leases.holds(command.fence, command.fence_token)) {
-      // Not remembered: the same request may come again under another grant.
+      // The result is not remembered, as the same request may be repeated under another grant.
       return {ApplyResult::Kind::kFenced, data_.leases.current_token(command.fence), command.fence};
     }
   }
   ApplyResult result = dispatch(index, revision, command);
-  // A lease call is safe to repeat and must see the table as it is: its result is not remembered.
+  // A lease call's result is not remembered: the call is safe to repeat and must see the current table.
   if (command.kind != Command::Kind::kLease) remember_result(data_, command.request, result);
   return result;
 }
--- a/registry/state.h
+++ b/registry/state.h
@@ -1,6 +1,6 @@
-// The registry's state machine, which every member runs over the same log: the fleet's list of endpoints, and
-// its leases. No I/O, no clock, no random numbers: all time comes with the commands, so that members agree to
-// the byte.
+// The registry's replicated state machine, which every member runs over the same log: the fleet's list of
+// endpoints and its leases. No I/O, clock or random numbers: time comes with the commands, so that all
+// members reach identical bytes.
 //
 // Revisions, compaction and compare-and-set as in etcd; expiry as of etcd's leases, with a guard against mass
 // expiry (expiry.h).
@@ -24,7 +24,7 @@
  public:
   explicit State(Limits limits = {}) { data_.limits = limits; }
 
-  // In the order of the log; the index grows with each call. For kConflict and kFenced nothing has changed.
+  // Applies commands in the log's order; `index` grows with each call. kConflict and kFenced change nothing.
   ApplyResult apply(uint64_t index, const Command& command);
 
   Revision revision() const { return data_.revision; }    // of the last change
@@ -32,21 +32,21 @@
   const std::string& identity() const { return data_.identity; }
   const std::map<std::string, Entry>& entries() const { return data_.entries; }
   const std::map<uint64_t, std::string>& members() const { return data_.members; }  // their HTTP addresses
-  Millis now() const { return data_.now; }  // the newest time of the log
+  Millis now() const { return data_.now; }  // the newest time in the log
   size_t registrations() const { return data_.registrations.size(); }
   const std::map<std::string, Source>& sources() const { return data_.sources; }
-  // Milliseconds since the source that is silent for longest was confirmed; -1: there is no source.
+  // Returns the milliseconds since the least recently confirmed source was confirmed; -1: there is no source.
   Millis source_ms() const;
-  // Ids that an operator drained and that have left since: drained again should they come back.
+  // Ids whose entries an operator had drained when they left: they are drained again if they reappear.
   const std::map<std::string, Revision>& drains() const { return data_.drains; }
   const LeaseTable& leases() const { return data_.leases; }
   bool expiry_paused() const { return data_.expiry_paused; }  // too many registrations would expire at once
 
-  // What changed after a revision, by revision, the newest of each id only; nothing where that has been
-  // compacted or never was: then the whole list is needed.
+  // Returns the newest change of each id after `revision`, in order of revision; nothing if that revision has
+  // been compacted or does not exist yet, so that the complete list is needed.
   std::optional<std::vector<Change>> since(Revision revision) const { return changes_since(data_, revision); }
 
-  std::string snapshot() const;                    // bytes of snapshot.h
+  std::string snapshot() const;                    // encoded as in snapshot.h
   static State restore(const std::string& bytes);  // throws std::exception
   uint64_t hash() const;                           // XXH3 of the snapshot
 
--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -8,7 +8,7 @@
 namespace turntally::registry {
 namespace {
 
-constexpr size_t kSlots = 20;  // quiet lines are spread over their 2 s
+constexpr size_t kSlots = 20;  // one slot per interval: spreads the heartbeats to watchers over 2 s
 constexpr auto kHeartbeatInterval = std::chrono::milliseconds(100);
 constexpr auto kAheadTimeout = std::chrono::seconds(5);
 
@@ -27,40 +27,42 @@
 
 void WatchBroadcaster::watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head,
                              int64_t index, const std::string& identity) {
-  const auto at = watchers_.emplace(watchers_.end());
-  at->slot = next_slot_++ % kSlots;
-  at->known = index < 0 ? 0 : static_cast<Revision>(index);
-  at->all = index < 0 || (!identity.empty() && identity != state_.identity());
-  if (!at->all && at->known > state_.revision()) {
+  const auto watcher = watchers_.emplace(watchers_.end());
+  watcher->slot = next_slot_++ % kSlots;
+  watcher->known_revision = index < 0 ? 0 : static_cast<Revision>(index);
+  watcher->needs_complete_list = index < 0 || (!identity.empty() && identity != state_.identity());
+  if (!watcher->needs_complete_list && watcher->known_revision > state_.revision()) {
     ++counts_.behind;
-    at->ahead_until = std::chrono::steady_clock::now() + kAheadTimeout;
+    watcher->ahead_until = std::chrono::steady_clock::now() + kAheadTimeout;
   }
-  at->stream = answer->stream(
-      head, [this, at] { advance(*at); },
-      [this, at] {
-        if (*alive_) watchers_.erase(at);
+  watcher->stream = answer->stream(
+      head, [this, watcher] { advance(*watcher); },
+      [this, watcher] {
+        if (*alive_) watchers_.erase(watcher);
       });
-  if (at->stream == nullptr) watchers_.erase(at);
+  if (watcher->stream == nullptr) watchers_.erase(watcher);
 }
 
-// What it does not know yet, if its connection takes more.
+// Sends the changes that the watcher does not have yet, if its connection is idle.
 void WatchBroadcaster::advance(Watcher& watcher) {
   if (watcher.stream == nullptr || !watcher.stream->idle()) return;
-  if (!watcher.all && watcher.known > state_.revision()) {
+  if (!watcher.needs_complete_list && watcher.known_revision > state_.revision()) {
     if (std::chrono::steady_clock::now() < watcher.ahead_until) return;
-    watcher.all = true;
+    watcher.needs_complete_list = true;
   }
-  // The first line says where the watch begins, also where nothing has changed.
-  if (!watcher.first && !watcher.all && watcher.known == state_.revision()) return;
-  watcher.first = false;
-  net::Shared chunk = watcher.all ? nullptr : since(watcher.known);
+  // The first line tells the client where the watch begins, even if nothing has changed.
+  if (!watcher.awaits_first_line && !watcher.needs_complete_list &&
+      watcher.known_revision == state_.revision())
+    return;
+  watcher.awaits_first_line = false;
+  net::Shared chunk = watcher.needs_complete_list ? nullptr : encode_changes_after(watcher.known_revision);
   if (chunk == nullptr) {
     whole();
-    chunk = whole_chunk_;
+    chunk = complete_list_chunk_;
     ++counts_.whole;
   }
-  watcher.all = false;
-  watcher.known = state_.revision();
+  watcher.needs_complete_list = false;
+  watcher.known_revision = state_.revision();
   watcher.notified = true;
   ++counts_.sent;
   watcher.stream->write(std::move(chunk));
@@ -78,36 +80,36 @@
   for (Watcher& watcher : watchers_) advance(watcher);
 }
 
-net::Shared WatchBroadcaster::since(Revision revision) {
+net::Shared WatchBroadcaster::encode_changes_after(Revision revision) {
   if (encoded_at_ != state_.revision()) {
-    since_.clear();
+    changes_after_.clear();
     encoded_at_ = state_.revision();
   }
-  const auto it = since_.find(revision);
-  if (it != since_.end()) return it->second;
+  const auto it = changes_after_.find(revision);
+  if (it != changes_after_.end()) return it->second;
   net::Shared chunk;
   if (const auto changes = state_.since(revision)) {
     chunk = std::make_shared<std::string>(net::http_chunk(changed_members(state_, *changes).dump() + "\n"));
     ++counts_.encoded;
   }
-  return since_[revision] = chunk;
+  return changes_after_[revision] = chunk;
 }
 
 net::Shared WatchBroadcaster::whole() {
-  if (whole_line_ == nullptr || whole_at_ != state_.revision()) {
-    whole_at_ = state_.revision();
-    whole_line_ = std::make_shared<std::string>(complete_list(state_).dump() + "\n");
-    whole_chunk_ = std::make_shared<std::string>(net::http_chunk(*whole_line_));
+  if (complete_list_line_ == nullptr || complete_list_at_ != state_.revision()) {
+    complete_list_at_ = state_.revision();
+    complete_list_line_ = std::make_shared<std::string>(complete_list(state_).dump() + "\n");
+    complete_list_chunk_ = std::make_shared<std::string>(net::http_chunk(*complete_list_line_));
     ++counts_.encoded;
   }
-  return whole_line_;
+  return complete_list_line_;
 }
 
 void WatchBroadcaster::send_heartbeats() {
-  static const net::Shared kEmpty = std::make_shared<std::string>(net::http_chunk("\n"));
-  net::Shared line = kEmpty;
-  if (const nlohmann::json stale = staleness_line_(); !stale.is_null()) {
-    line = std::make_shared<std::string>(net::http_chunk(stale.dump() + "\n"));
+  static const net::Shared kEmptyLine = std::make_shared<std::string>(net::http_chunk("\n"));
+  net::Shared line = kEmptyLine;
+  if (const nlohmann::json staleness = staleness_line_(); !staleness.is_null()) {
+    line = std::make_shared<std::string>(net::http_chunk(staleness.dump() + "\n"));
   }
   current_slot_ = (current_slot_ + 1) % kSlots;
   for (Watcher& watcher : watchers_) {
--- a/registry/watch_broadcaster.h
+++ b/registry/watch_broadcaster.h
@@ -1,6 +1,6 @@
-// The watches on the list at one member. A change is encoded once for all who wait at the same revision.
-// Nobody has a queue: who reads slowly has one chunk out, and gets what has changed since in one piece once
-// it is read (coalesced per id), or the whole list where that has been compacted.
+// The watches on the list at one member. A change is encoded once for all watchers at the same revision.
+// Watchers have no queues: a slow one has a single chunk in flight, and once it has read that it gets all
+// later changes at once, coalesced per id, or the complete list if those changes have been compacted.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,45 +16,46 @@
 
 class WatchBroadcaster {
  public:
-  // `staleness_line`: the line where this member has not heard from a majority, or the list's source is lost,
-  // for long; null while all is well.
+  // Returns the line to send while this member has lost contact to a majority, or the list's source is lost,
+  // for too long; null otherwise.
   using StalenessLine = std::function<nlohmann::json()>;
 
   WatchBroadcaster(boost::asio::io_context& io, const State& state, StalenessLine staleness_line);
   ~WatchBroadcaster();
 
-  // From the revision that the client knows; -1: none. `identity` of the list that it knows; empty: not
-  // known.
+  // Starts a watch at revision `index`, the one that the client has; -1: none. `identity` is of the list that
+  // the client has; empty: not known.
   void watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head, int64_t index,
              const std::string& identity);
-  void changed();       // the state has: sent in the next turn, many changes at once
+  void changed();       // sends in the next turn of the loop, so that several changes go out together
   net::Shared whole();  // the list as a line, encoded once for each revision
 
   size_t watchers() const { return watchers_.size(); }
   struct Counts {
-    uint64_t encoded = 0;  // lines
-    uint64_t sent = 0;     // lines, to all
-    uint64_t whole = 0;    // of those sent: whole lists
-    uint64_t behind = 0;   // watches that began ahead of this member
+    uint64_t encoded = 0;
+    uint64_t sent = 0;    // to all watchers
+    uint64_t whole = 0;   // of the sent lines
+    uint64_t behind = 0;  // watches that started ahead of this member's revision
   };
   const Counts& counts() const { return counts_; }
 
  private:
   struct Watcher {
     std::shared_ptr<net::HttpStream> stream;
-    Revision known = 0;
-    bool all = false;  // wants the whole list
-    bool first = true;
-    // It knows more than this member: nothing is sent until that has caught up, or this time has come.
+    Revision known_revision = 0;
+    bool needs_complete_list = false;
+    bool awaits_first_line = true;
+    // When a watcher is ahead of this member, nothing is sent until the member has caught up or this time has
+    // come.
     std::chrono::steady_clock::time_point ahead_until;
-    bool notified = false;  // since the last heartbeat
+    bool notified = false;  // a line was sent since the last heartbeat
     size_t slot = 0;
   };
 
   void advance_all();
   void advance(Watcher& watcher);
   void send_heartbeats();
-  net::Shared since(Revision revision);
+  net::Shared encode_changes_after(Revision revision);
 
   boost::asio::io_context& io_;
   const State& state_;
@@ -65,10 +66,10 @@
   size_t current_slot_ = 0;
   bool advance_scheduled_ = false;
   Revision encoded_at_ = 0;
-  std::map<Revision, net::Shared> since_;  // up to encoded_at_
-  Revision whole_at_ = 0;
-  net::Shared whole_line_;
-  net::Shared whole_chunk_;
+  std::map<Revision, net::Shared> changes_after_;  // encoded changes from each revision up to encoded_at_
+  Revision complete_list_at_ = 0;
+  net::Shared complete_list_line_;
+  net::Shared complete_list_chunk_;
   Counts counts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/registry/stored_data_test.cpp
+++ b/tests/registry/stored_data_test.cpp
@@ -1,7 +1,7 @@
-// Data that the version of commit 5be24d8 wrote: this program must read it, and come to the same bytes.
-// tests/data/registry-5be24d8/commands.txt has one line for each entry of a log: its index, the kind and the
-// revision of the result, the hash of the state after it, and the encoded command in hexadecimal.
-// snapshot.hex is the snapshot after the last one.
+// Compatibility with stored data: this program must read what the version of commit 5be24d8 wrote and produce
+// the same bytes. tests/data/registry-5be24d8/commands.txt has one line per log entry: its index, the kind
+// and the revision of the result, the hash of the state after it, and the encoded command in hexadecimal.
+// snapshot.hex is the snapshot after the last entry.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -16,7 +16,7 @@
 
 const std::string kFolder = STORED_DATA;
 
-std::string bytes_of(const std::string& hex) {
+std::string decode_hex(const std::string& hex) {
   std::string bytes;
   for (size_t i = 0; i + 1 < hex.size(); i += 2) {
     bytes.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
@@ -28,10 +28,10 @@
   std::ifstream file(kFolder + "/snapshot.hex");
   std::string hex;
   file >> hex;
-  return bytes_of(hex);
+  return decode_hex(hex);
 }
 
-// The limits that the fixture was written with.
+// The limits with which the stored data was written.
 Limits stored_limits() {
   Limits limits;
   limits.kept_changes = 20;
@@ -39,7 +39,7 @@
   return limits;
 }
 
-TEST(StoredData, AppliesCommandsToTheSameResultsHashesAndSnapshot) {
+TEST(StoredData, ReplaysCommandsToSameResultsHashesAndSnapshot) {
   std::ifstream file(kFolder + "/commands.txt");
   ASSERT_TRUE(file);
   State state(stored_limits());
@@ -49,7 +49,7 @@
   std::string hash;
   std::string hex;
   while (file >> index >> kind >> revision >> hash >> hex) {
-    const std::string bytes = bytes_of(hex);
+    const std::string bytes = decode_hex(hex);
     const Command command = decode(bytes);
     EXPECT_EQ(encode(command), bytes) << "entry " << index;
     const ApplyResult result = state.apply(index, command);
@@ -61,13 +61,13 @@
   EXPECT_EQ(state.snapshot(), stored_snapshot());
 }
 
-TEST(StoredData, RestoresASnapshotAndWritesTheSameBytes) {
+TEST(StoredData, RestoresSnapshotAndWritesSameBytes) {
   const std::string bytes = stored_snapshot();
   ASSERT_FALSE(bytes.empty());
   const State state = State::restore(bytes);
   EXPECT_EQ(state.snapshot(), bytes);
   EXPECT_EQ(state.identity(), "list-two");
-  // A log pads what it stores to whole words.
+  // The log pads stored data to multiples of 8 bytes.
   EXPECT_EQ(State::restore(bytes + std::string(5, '\0')).hash(), state.hash());
 }
 
