--- a/include/turntally/actions.h
+++ b/include/turntally/actions.h
@@ -1,4 +1,4 @@
-// Actions: what Policy::step wants the caller to do, in this order.
+// Actions: what the caller of Policy::step does in return, in the order given.
 #pragma once
 
 #include <limits>
@@ -9,56 +9,62 @@
 
 namespace turntally::policy {
 
-// Answered by one AttemptEnded, with kTimeout at the latest after `timeout`.
+// Sends an attempt of a message to an endpoint. The caller answers it with exactly one AttemptEnded, whose
+// outcome is kTimeout at the latest when `timeout` has passed.
 struct SendAttempt {
   uint64_t id = 0;
   Endpoint endpoint;
   Time timeout = 0;                                      // microseconds
-  Time latest_start = std::numeric_limits<Time>::max();  // point in time: no byte may be written later
+  Time latest_start = std::numeric_limits<Time>::max();  // point in time after which no byte may be written
 };
 
-// Ends the message; a retry by the client is harmless.
+// Ends the message without success. A retry by the client is harmless.
 struct Reject {
   uint64_t id = 0;
   Time retry_after = 0;  // microseconds
 };
 
-// Ends the message; a retry by the client may run it twice.
+// Ends the message without success. It may have run, so a retry by the client may run it twice.
 struct Fail {
   uint64_t id = 0;
 };
 
+// Aborts an attempt in flight. Its AttemptEnded still follows.
 struct Cancel {
   uint64_t id = 0;
   int attempt = 0;  // from 0
 };
 
-// Answered by one HealthCheckEnded.
+// Checks the health of an endpoint. The caller answers it with exactly one HealthCheckEnded.
 struct SendHealthCheck {
   Endpoint endpoint;
 };
 
+// Closes the endpoint's connections that carry no call.
 struct CloseIdleConnections {
   Endpoint endpoint;
 };
 
-// Answered by one TimerFired with the same token.
+// Requests one TimerFired with the same token.
 struct SetTimer {
   uint64_t token = 0;
   Time at = 0;  // point in time
 };
 
+// Opens a watch on the list of endpoints, which then arrives as EndpointListChanged events.
 struct OpenListWatch {};
 
+// Sends the bytes to all other relays.
 struct SendGossip {
   std::string bytes;
 };
 
+// Writes a line to the log.
 struct Log {
   std::string text;
 };
 
-// Replaces what was persisted of the destination before.
+// Replaces the persisted state of the destination.
 struct PersistDestinationState {
   DestinationState state;
 };
--- a/include/turntally/policy.h
+++ b/include/turntally/policy.h
@@ -14,26 +14,25 @@
 
 namespace turntally::policy {
 
-// Decides for one relay. It has no I/O, no clock, no thread and no lock: use each object from one thread at a
-// time.
+// Decides what one relay sends, when and where, and how each message ends. It does no I/O, reads no clock and
+// starts no thread. It has no lock: each object must be used by one thread at a time.
 class Policy {
  public:
-  // `seed` determines all random numbers. Throws std::invalid_argument when the settings hold no class.
+  // `seed` determines all random numbers. Throws std::invalid_argument if the settings contain no class.
   Policy(Settings settings, uint64_t seed);
   ~Policy();
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Call it once for each batch of events, with a clock that never goes back (`now` in microseconds). All
-  // events of the batch are handled first, then decisions are taken once. Actions are appended to the vector,
-  // which belongs to the caller. Each message gets one final answer: an AttemptEnded with `final` set, a
-  // Reject or a Fail.
+  // Handles a batch of events, then decides once and appends the resulting actions to `actions`. `now` is in
+  // microseconds and must never decrease. Each message gets one final answer: an AttemptEnded with `final`
+  // set, a Reject or a Fail.
   //
-  // Wrong use (time going back, a message id given twice, an unknown class) throws std::invalid_argument and
-  // leaves the event unread.
+  // Throws std::invalid_argument when `now` decreases, a message id is pending already or a class is unknown;
+  // the offending event is not applied.
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions);
 
-  // The number of listed endpoints that are suspended, ejected, or in an outage without recovery.
+  // Returns the number of listed endpoints that are suspended, ejected, or in an outage without recovery.
   size_t ejected_endpoints(Time now) const;
 
  private:
--- a/include/turntally/settings.h
+++ b/include/turntally/settings.h
@@ -1,4 +1,5 @@
-// Settings: given at the start, and again by SettingsChanged. Spans of time are in microseconds.
+// Settings of a Policy: passed to its constructor and replaced by SettingsChanged. Durations are in
+// microseconds.
 #pragma once
 
 #include <string>
@@ -9,27 +10,29 @@
 
 namespace turntally::policy {
 
-// What a second run of a message would do: nothing more; nothing more while its idempotency key is
-// remembered; the same effect again.
+// The effect of running a message twice: the same as running it once; the same while the endpoint remembers
+// the idempotency key; the effect is repeated.
 enum class Idempotency { kIdempotent, kIdempotentWithKey, kNonIdempotent };
 
-// Which endpoints of a destination recognize a repeat by its idempotency key.
+// Which endpoints of a destination recognize a repeated message by its idempotency key.
 enum class DeduplicationScope { kAll, kZone, kGroup };
 
+// Settings of a message class.
 struct ClassSettings {
   std::string name;
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  // How long a destination remembers an idempotency key, from the first attempt that may have run.
+  // How long a destination remembers an idempotency key after the first attempt that may have run.
   Time deduplication_window = 0;
-  bool in_order = false;       // messages of one ordering key go one at a time
-  Time latency_objective = 0;  // delivered within it, a message has its full weight
-  Time max_lifetime = 0;       // how long it may be delivered, from its first submission
+  bool in_order = false;       // messages with the same ordering key are sent one at a time, in order
+  Time latency_objective = 0;  // a message delivered within it has its full weight
+  Time max_lifetime = 0;       // from the first submission to the deadline
   double priority_weight = 1;
-  double late_weight_share = 0;  // share of the weight that remains at the deadline
+  double late_weight_share = 0;  // share of the weight that remains at the deadline, from 0 to 1
   bool operator==(const ClassSettings&) const = default;
 };
 
+// Settings of a kind of endpoints.
 struct KindSettings {
   std::string name;
   // Each endpoint of a destination is a route of its own, with its own limit and outages.
@@ -39,11 +42,11 @@
 
 struct TenantSettings {
   std::string name;
-  double quota_per_s = 0;  // messages a second of all relays together with full weight; 0: no quota
+  double quota_per_s = 0;  // messages with full weight per second, all relays together; 0: no quota
   bool operator==(const TenantSettings&) const = default;
 };
 
-// What the weight of a listed endpoint says: nothing, the destination's limit, or a rough figure of it.
+// The meaning of EndpointInfo::weight: none, the destination's limit, or an estimate of that limit.
 enum class Weights { kNone, kNominal, kRough };
 
 struct Settings {
@@ -55,31 +58,33 @@
   int zone = 0;
   int max_concurrent_calls = 1;
   int max_pending_messages = 1;  // in flight or waiting
-  int max_attempts = 1;          // of a message
+  int max_attempts = 1;          // per message
   int streams_per_connection = 1;
   bool health_checks_allowed = false;
   bool gossip_allowed = false;
   bool cancellation_allowed = false;
-  bool list_needs_watch = false;           // the list is sent only to those who open a watch
+  bool list_needs_watch = false;           // the list of endpoints arrives only while a watch is open
   bool clients_honor_retry_after = false;  // clients see the retry_after of a Reject
-  // The weight halves with each further latency objective; otherwise it falls linearly until the deadline.
+  // After the latency objective, the weight of a message halves with each further objective; otherwise it
+  // falls linearly until the deadline.
   bool late_weight_halves = false;
   Weights weights = Weights::kNone;
-  int report_limit_remaining_index = -1;  // in a load report: share of the limit that remains; -1: absent
-  int report_limit_index = -1;            // in a load report: limit in calls a second; -1: absent
-  double over_quota_weight_share = 1;     // share of the weight beyond a tenant's quota, from 0 to 1
+  int report_limit_remaining_index = -1;  // in a load report: remaining share of the limit; -1: absent
+  int report_limit_index = -1;            // in a load report: limit in calls per second; -1: absent
+  double over_quota_weight_share = 1;     // share of its weight that a message over quota keeps, from 0 to 1
   Time tick = 0;                          // resolution of the caller's clock
-  Time connection_idle_timeout = 0;
+  Time connection_idle_timeout = 0;       // connections idle for longer are not reused
   Time connect_timeout = 0;
-  Time max_retry_after = 0;
-  Time answer_slack = 0;
-  Time drain_grace = 0;
-  Time list_poll_interval = 0;
-  Time ordering_pause = 0;            // after a call with unknown outcome, before the next message of its key
-  Time slow_start_duration = 0;       // after an outage a destination has all its capacity again within it
-  Time overload_window = 0;           // overloaded for so long in its slow start, a destination fails again
-  double overload_factor = 1;         // overload: more than so many times its capacity at that moment
-  double initial_capacity_share = 1;  // share of its capacity that a destination recovers with
+  Time max_retry_after = 0;      // upper bound of the retry_after of a Reject; 0: none
+  Time answer_slack = 0;         // allowed time from a message's deadline to its final answer
+  Time drain_grace = 0;          // how long a draining endpoint may still be sent calls
+  Time list_poll_interval = 0;   // half of it bounds the pause before a watch is opened again
+  Time ordering_pause = 0;       // after a call with unknown outcome, before the next message of its key
+  Time slow_start_duration = 0;  // within it, a destination regains all its capacity after an outage
+  Time overload_window = 0;      // a destination in slow start fails again when overloaded for this long
+  double overload_factor =
+      1;  // a destination in slow start is overloaded above this multiple of its capacity
+  double initial_capacity_share = 1;  // share of its capacity that a destination has when it recovers
   double cost_cross_zone = 0;
   double cost_handshake = 0;
   double cost_waste = 0;
@@ -90,8 +95,8 @@
   std::vector<double> zone_costs;  // by zone: cost of a message accepted by an independent endpoint
 };
 
-// Reads settings from path=value lines. Unknown keys are skipped; a needed key that is missing or unreadable
-// throws std::invalid_argument naming it.
+// Reads settings from path=value lines and skips unknown keys. Throws std::invalid_argument with the key's
+// name if a required key is missing or a value is unreadable or out of range.
 Settings parse_settings(std::string_view text);
 
 }  // namespace turntally::policy
