--- a/policy/attempt_outcome.cpp
+++ b/policy/attempt_outcome.cpp
@@ -1,4 +1,4 @@
-// What the end of an attempt says about its message, endpoint, route and destination.
+// Handles the end of an attempt: updates the state of its message, endpoint, route and destination.
 #include <algorithm>
 
 #include "policy/idempotency.h"
@@ -7,13 +7,13 @@
 namespace turntally::policy {
 namespace {
 
-// The call may still be running, or have run, at the endpoint.
+// Whether the call may still be running at the endpoint, or may have run.
 bool has_unknown_outcome(Outcome outcome) {
   return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled ||
          outcome == Outcome::kMalformedResponse;
 }
 
-// The endpoint did not begin to run the call.
+// Whether the endpoint did not start to run the call.
 bool did_not_run(Outcome outcome) {
   return outcome == Outcome::kNotStarted || outcome == Outcome::kRejected ||
          outcome == Outcome::kConnectFailed;
@@ -29,8 +29,8 @@
   EndpointState& endpoint = directory_.at(attempt.endpoint);
   Destination& destination = destinations_.get_or_add(endpoint.info.destination);
   const EndedCall ended{event, attempt, endpoint, *endpoint.route, destination};
-  const bool is_new_evidence = end_call(ended);
-  if (is_new_evidence) learn_from(ended);
+  const bool is_first_outcome = end_call(ended);
+  if (is_first_outcome) learn_from(ended);
   if (endpoint.calls == 0 && idle_connections_.connection_tables_full(destination.kind))
     close_idle_connections(endpoint);
   const auto message = messages_.find(event.id);
@@ -43,10 +43,11 @@
   blocked_until = std::max(blocked_until, until);
 }
 
-// Counts the attempt; whether its outcome is evidence that the others of its batch have not given yet.
+// Releases the attempt's slot and updates what every attempt counts for. Returns whether its outcome is the
+// first of its kind in its call.
 bool Policy::Impl::end_call(const EndedCall& ended) {
   const AttemptEnded& event = ended.event;
-  const bool is_new_evidence = calls_.is_new_evidence(ended.attempt.call, event.outcome);
+  const bool is_first_outcome = calls_.is_new_evidence(ended.attempt.call, event.outcome);
   if (calls_.end_message(ended.attempt.call)) {
     --ended.endpoint.calls;
     ended.destination.concurrency_limit.on_call_ended();
@@ -54,12 +55,12 @@
   ended.endpoint.connections.last_used = now_;
   if (ended.attempt.is_trial) ended.route.trial_calls.on_trial_ended();
   if (event.outcome == Outcome::kOk) ended.destination.retry_budget.on_served();
-  // All relays that got the same retry-after come back at its end: the pause spreads them.
-  const Time opens = now_ + event.retry_after + settings_.tick;
-  if (event.retry_after > 0 && ended.route.blocked_until() < opens)
-    block(ended.route, opens + random_.between(0, kMaxRandomPause));
+  // All relays that got the same retry-after resume at its end. The random pause spreads them.
+  const Time blocked_until = now_ + event.retry_after + settings_.tick;
+  if (event.retry_after > 0 && ended.route.blocked_until() < blocked_until)
+    block(ended.route, blocked_until + random_.between(0, kMaxRandomPause));
   if (event.outcome == Outcome::kOk) ended.route.served.add_event(now_);
-  return is_new_evidence;
+  return is_first_outcome;
 }
 
 void Policy::Impl::learn_from(const EndedCall& ended) {
@@ -87,7 +88,7 @@
       return learn_from_failure(ended);
     case Outcome::kCancelled:
     case Outcome::kNotStarted:
-    case Outcome::kMalformedResponse:  // says nothing about the endpoint's health
+    case Outcome::kMalformedResponse:  // no evidence about the endpoint's health
       return;
   }
 }
@@ -105,7 +106,7 @@
 void Policy::Impl::learn_from_rejection(const EndedCall& ended, const LoadReport& report) {
   Route& route = ended.route;
   const Time retry_after = ended.event.retry_after;
-  // A limit that is used up explains the rejection, and gives the rate.
+  // An exhausted limit explains the rejection, and determines the send rate.
   if (retry_after <= kMaxLimitSpan && RateLimiter::is_limit_exhausted(report)) {
     route.rate_limiter.on_limit_exhausted(route.blocked_until(), context());
     return;
@@ -117,7 +118,8 @@
 
 void Policy::Impl::learn_from_failure(const EndedCall& ended) {
   const AttemptEnded& event = ended.event;
-  // Lost answers are no sign of slowness: a timeout is a sample only where late calls are served.
+  // Lost answers do not mean that the destination is slow, so a timeout is a latency sample only if late
+  // calls are usually served.
   const bool may_be_slow = event.outcome == Outcome::kTimeout && !call_timeout_.late_calls_are_lost();
   if (may_be_slow && ended.route.outage_detector().newest_served_sent() < ended.attempt.sent)
     destinations_.add_latency_sample(ended.destination, event.latency);
@@ -146,7 +148,7 @@
   const AttemptEnded& event = ended.event;
   const bool not_started = event.outcome == Outcome::kNotStarted;
   if (not_started && event.call_started) return;
-  if (!event.call_started) ++message.max_attempts;  // no call was made: it may still have this attempt
+  if (!event.call_started) ++message.max_attempts;  // no call was made, so the attempt does not count
   message.is_retry = !not_started;
   message.not_before = now_ + random_.between(kMinRandomPause, kMaxRandomPause);
   if (did_not_run(event.outcome) || message.arrival.may_have_run) return;
--- a/policy/call_timeout.cpp
+++ b/policy/call_timeout.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kTimeoutSuspicionAges = 2;
-constexpr double kNonIdempotentFactor = 2;  // a timeout ends such a message without success
+constexpr double kNonIdempotentFactor = 2;  // such a message fails when its call times out
 constexpr double kMinTimeoutSeconds = 1;
 
 double timeout_factor(const Message& message) {
--- a/policy/call_timeout.h
+++ b/policy/call_timeout.h
@@ -1,7 +1,7 @@
-// Decides how long to wait for a call, and whether to cancel calls that are late.
+// Decides how long to wait for a call, and whether to cancel late calls.
 //
-// A call is late once it is older than its destination's suspicion age. Whether waiting pays is learnt from
-// the share of late calls that are served after all.
+// A call is late once it is older than its destination's suspicion age. The share of late calls that are
+// served in the end shows whether waiting for them is worthwhile.
 #pragma once
 
 #include "policy/message.h"
@@ -13,14 +13,14 @@
  public:
   void on_late_call_ended(bool served);
 
-  // Whether late calls proved lost rather than slow.
+  // Whether late calls have mostly been lost rather than slow.
   bool late_calls_are_lost() const;
 
-  // The timeout of an attempt that starts now, in microseconds: a multiple of the suspicion age, and never
-  // beyond the deadline. Without the former, lost answers would fill the slots one by one.
+  // Returns the timeout of an attempt that starts now, in microseconds: a multiple of the suspicion age, but
+  // not beyond the deadline. With the deadline alone, lost answers would fill the slots one by one.
   static Time timeout(const Message& message, Time now, Time suspicion_age);
 
-  // Whether the attempt is so late that it may be cancelled to free its slot.
+  // Whether an attempt of this age is so late that it may be cancelled to free its slot.
   static bool may_cancel(const Message& message, Time age, Time suspicion_age);
 
  private:
--- a/policy/calls_in_flight.cpp
+++ b/policy/calls_in_flight.cpp
@@ -25,10 +25,10 @@
 }
 
 bool CallsInFlight::is_new_evidence(uint64_t call, Outcome outcome) {
-  unsigned& seen = calls_.at(call).seen_outcomes;
+  unsigned& outcome_bits = calls_.at(call).seen_outcomes;
   const unsigned bit = 1U << static_cast<unsigned>(outcome);
-  const bool is_new = (seen & bit) == 0;
-  seen |= bit;
+  const bool is_new = (outcome_bits & bit) == 0;
+  outcome_bits |= bit;
   return is_new;
 }
 
--- a/policy/calls_in_flight.h
+++ b/policy/calls_in_flight.h
@@ -1,6 +1,7 @@
-// The calls in flight. One call carries one message or a batch of them; each message has its own attempt.
+// Tracks the calls in flight. A call carries one message or a batch of them; each message has its own
+// attempt.
 //
-// Invariant: a call exists as long as a message in it has no outcome.
+// Invariant: a call exists as long as one of its messages has no outcome.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +25,24 @@
   Time sent = 0;
   uint64_t call = 0;
   bool cancelled = false;
-  bool is_trial = false;     // looks for the end of an outage
-  Time connection_idle = 0;  // how long its connection had been idle; 0: fresh or busy
+  bool is_trial = false;     // tests whether an outage is over
+  Time connection_idle = 0;  // idle time of its connection before it was sent; 0: new or in use
 };
 
 class CallsInFlight {
  public:
-  // Starts an empty call and returns its number.
+  // Adds an empty call and returns its number.
   uint64_t begin();
   void add_message(uint64_t call);
 
-  // Adds a message to a call that the previous process made; whether the call is new here.
+  // Adds a message to a call that the previous process made. Returns whether the call is new here.
   bool resume(uint64_t call_of_previous_process);
   static uint64_t number_of_resumed(uint64_t call_of_previous_process);
 
-  // Whether this is the first such outcome of the call. The messages of a batch share one fate: that is one
-  // piece of evidence.
+  // Records an outcome of one of the call's messages, and returns whether the call had no such outcome
+  // before. The messages of a batch usually end alike, so equal outcomes count as a single piece of evidence.
   bool is_new_evidence(uint64_t call, Outcome outcome);
-  // Removes one message; whether the call is over.
+  // Removes one message from the call. Returns whether it was the last, which removes the call.
   bool end_message(uint64_t call);
 
   bool contains(uint64_t call) const { return calls_.contains(call); }
--- a/policy/concurrency_limit.cpp
+++ b/policy/concurrency_limit.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kSlotShare = 0.5;
 constexpr double kMinSlotShare = 0.15;
-constexpr double kOutlierFactor = 4;  // a latency above so many times the baseline is an outlier
+constexpr double kOutlierFactor = 4;  // latencies above this multiple of the baseline are outliers
 constexpr double kMinLatencySeconds = 1e-6;
 
 }  // namespace
@@ -26,7 +26,7 @@
 }
 
 int ConcurrencyLimit::slots(int max_concurrent_calls, double latency_seconds) const {
-  double speed = 1;  // against the baseline
+  double speed = 1;  // relative to the baseline; below 1: slower
   if (baseline_latency_.has_samples()) {
     const double latency = std::max(kMinLatencySeconds, latency_seconds);
     speed = std::min(1.0, baseline_latency_.mean_seconds() / latency);
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -1,6 +1,7 @@
-// Decides how many slots a destination may fill while other destinations wait for one.
+// Limits the slots that one destination uses while other destinations wait for a slot.
 //
-// It is a fixed share of all slots, narrowed while calls take longer than the destination's baseline latency.
+// The limit is a fixed share of all slots. It shrinks while calls take longer than the destination's baseline
+// latency.
 #pragma once
 
 #include "policy/latency_estimator.h"
@@ -13,7 +14,7 @@
   void on_call_started() { ++calls_; }
   void on_call_ended() { --calls_; }
 
-  // Whether the destination uses its share of the slots.
+  // Whether the destination uses all of its share of the slots.
   bool is_reached(int max_concurrent_calls, double latency_seconds) const;
 
  private:
--- a/policy/destination.h
+++ b/policy/destination.h
@@ -1,4 +1,4 @@
-// What is known of each destination: its latency, its retries and its share of the slots.
+// State of each destination: its latency, retry budget and concurrency limit.
 #pragma once
 
 #include <map>
@@ -15,12 +15,12 @@
   RetryBudget retry_budget;
   ConcurrencyLimit concurrency_limit;
   LatencyEstimator latency;
-  DestinationState persisted;  // as last given to the caller
+  DestinationState persisted;  // as last passed to the caller
 };
 
 class Destinations {
  public:
-  // Adds the destination where it is new.
+  // Returns the destination, which is added if it is new.
   Destination& get_or_add(int number) { return destinations_[number]; }
   bool contains(int number) const { return destinations_.contains(number); }
   std::map<int, Destination>& all() { return destinations_; }
@@ -28,7 +28,7 @@
   void add_latency_sample(Destination& destination, Time latency);
   void add_kind_latency_sample(int kind, Time latency);
 
-  // The destination's latency, or that of its kind where none was measured.
+  // Returns the destination's latency, or that of its kind if the destination has no samples.
   const LatencyEstimator& latency_of(const Destination& destination);
 
  private:
--- a/policy/dispatch.cpp
+++ b/policy/dispatch.cpp
@@ -1,4 +1,4 @@
-// Which messages are sent in a step, and where.
+// Selects the messages that are sent in a step, and the endpoint of each.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -10,59 +10,61 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kBatchedMessageWork = 0.15;  // work of a further message in a call, in parts of the first
+// Work of each message in a call after the first, relative to the work of the first.
+constexpr double kBatchedMessageWork = 0.15;
 
-// Whether the work of one more message may be added to a call, given what a slow start admits. A batch may
-// use up in advance what half the overload window brings.
+// Whether a slow start admits one more message in a call. A batch may borrow the tokens that refill within
+// half the overload window.
 bool slow_start_admits_batched(double tokens, double rate, Time overload_window) {
   const double credit = seconds(overload_window) / 2;
   return tokens >= kBatchedMessageWork - credit * rate;
 }
 
-// The destinations by their next message: the one that goes first comes first.
-template <class Turn>
-class TurnHeap {
+// A heap of destinations; the one whose next message is sent first is on top.
+template <class Schedule>
+class ScheduleHeap {
  public:
-  bool empty() const { return next_.empty(); }
+  bool empty() const { return entries_.empty(); }
 
-  // Adds the destination unless nothing of it is left.
-  void push(Turn& turn) {
-    const std::optional<SendCandidate> candidate = turn.order.peek();
+  // Adds the destination unless it has no candidates left.
+  void push(Schedule& schedule) {
+    const std::optional<SendCandidate> candidate = schedule.order.peek();
     if (!candidate) return;
-    next_.emplace_back(*candidate, &turn);
-    std::push_heap(next_.begin(), next_.end(), is_later);
+    entries_.emplace_back(*candidate, &schedule);
+    std::push_heap(entries_.begin(), entries_.end(), is_later);
   }
 
-  std::pair<SendCandidate, Turn*> pop() {
-    std::pop_heap(next_.begin(), next_.end(), is_later);
-    const auto first = next_.back();
-    next_.pop_back();
-    return first;
+  std::pair<SendCandidate, Schedule*> pop() {
+    std::pop_heap(entries_.begin(), entries_.end(), is_later);
+    const auto top = entries_.back();
+    entries_.pop_back();
+    return top;
   }
 
  private:
-  using Next = std::pair<SendCandidate, Turn*>;
+  using Entry = std::pair<SendCandidate, Schedule*>;
 
-  static bool is_later(const Next& a, const Next& b) { return b.first < a.first; }
+  static bool is_later(const Entry& a, const Entry& b) { return b.first < a.first; }
 
-  std::vector<Next> next_;
+  std::vector<Entry> entries_;
 };
 
 }  // namespace
 
 void Policy::Impl::dispatch() {
   update_send_queues();
-  DestinationTurns turns = destination_turns();
-  if (turns.empty()) return;
+  DestinationTurns schedules = destination_turns();
+  if (schedules.empty()) return;
   if (calls_.size() >= settings_.max_concurrent_calls) return cancel_late_calls();
-  // First within each destination's share of the slots; slots that no other waits for then go to anyone.
+  // The first pass keeps each destination within its share of the slots. The second gives the slots that are
+  // left to any destination.
   for (const bool within_share : {true, false}) {
-    send_in_order(turns, within_share);
+    send_in_order(schedules, within_share);
     if (calls_.size() >= settings_.max_concurrent_calls) return;
   }
 }
 
-// Brings the queues up to the present: pauses that are over, and the turns of ordering keys.
+// Adds messages whose pause is over to the send queues, and updates the next message of each ordering key.
 void Policy::Impl::update_send_queues() {
   for (const uint64_t key : waiting_.end_pauses(now_, messages_)) message_ordering_.on_changed(key);
   wake_at(waiting_.next_pause_end());
@@ -74,17 +76,17 @@
   if (!id) return;
   const Message& message = messages_.at(*id);
   const bool is_listed = directory_.find_destination(message.arrival.destination) != nullptr;
-  if (!is_listed) message_ordering_.on_changed(ordering_key);  // looked at again in the next step
-  const bool may_go = is_listed && !message.in_flight && message.not_before <= now_;
-  const auto turn =
-      may_go ? message_ordering_.turn_of_first(ordering_key, now_, calls_) : MessageOrdering::Turn{};
-  if (!turn.is_next) wake_at(turn.check_again_at);
-  waiting_.set_next_in_order(ordering_key, turn.is_next ? &message : nullptr);
+  if (!is_listed) message_ordering_.on_changed(ordering_key);  // checked again in the next step
+  const bool may_attempt = is_listed && !message.in_flight && message.not_before <= now_;
+  const auto decision =
+      may_attempt ? message_ordering_.turn_of_first(ordering_key, now_, calls_) : MessageOrdering::Turn{};
+  if (!decision.is_next) wake_at(decision.check_again_at);
+  waiting_.set_next_in_order(ordering_key, decision.is_next ? &message : nullptr);
 }
 
-// The destinations that are listed and have messages that may be sent.
+// Returns the listed destinations that have messages which may be sent.
 Policy::Impl::DestinationTurns Policy::Impl::destination_turns() {
-  DestinationTurns turns;
+  DestinationTurns schedules;
   std::erase_if(waiting_.send_queues(), [](const auto& entry) { return entry.second.empty(); });
   for (auto& [number, queue] : waiting_.send_queues()) {
     if (queue.destination == nullptr) {
@@ -93,88 +95,91 @@
     }
     queue.prune();
     const double latency = destinations_.latency_of(*queue.destination).mean_seconds();
-    turns.push_back({number, queue, *queue.destination, latency,
-                     SendOrder(queue, now_, latency, settings_.late_weight_halves), std::nullopt, false});
-    turns.back().is_over_share = uses_its_share(turns.back());
+    schedules.push_back({number, queue, *queue.destination, latency,
+                         SendOrder(queue, now_, latency, settings_.late_weight_halves), std::nullopt, false});
+    schedules.back().is_over_share = uses_its_share(schedules.back());
   }
-  return turns;
+  return schedules;
 }
 
-// Sends until all slots are taken or no destination admits any more. With `within_share` a destination that
-// uses up its share of the slots is left for the next time; without, only these are looked at.
-void Policy::Impl::send_in_order(DestinationTurns& turns, bool within_share) {
-  TurnHeap<DestinationTurn> heap;
-  for (DestinationTurn& turn : turns) {
-    if (turn.is_over_share != within_share) heap.push(turn);
+// Sends messages of all destinations by priority until all slots are taken or no destination admits any more.
+// With `within_share`, a destination that reaches its share of the slots is marked as over its share and left
+// for the second pass; without it, only the destinations marked so are considered.
+void Policy::Impl::send_in_order(DestinationTurns& schedules, bool within_share) {
+  ScheduleHeap<DestinationTurn> heap;
+  for (DestinationTurn& schedule : schedules) {
+    if (schedule.is_over_share != within_share) heap.push(schedule);
   }
   while (!heap.empty()) {
-    const auto [candidate, turn] = heap.pop();
-    const bool is_sent = try_send(*turn, candidate);
-    if (is_sent && within_share) turn->last_within_share = candidate;
+    const auto [candidate, schedule] = heap.pop();
+    const bool is_sent = try_send(*schedule, candidate);
+    if (is_sent && within_share) schedule->last_within_share = candidate;
     if (is_sent && calls_.size() >= settings_.max_concurrent_calls) {
-      if (leaves_any_behind(turns, candidate, within_share)) cancel_late_calls();
+      if (leaves_any_behind(schedules, candidate, within_share)) cancel_late_calls();
       return;
     }
-    if (is_sent && within_share && uses_its_share(*turn)) turn->is_over_share = true;
-    if (turn->is_over_share != within_share) heap.push(*turn);
+    if (is_sent && within_share && uses_its_share(*schedule)) schedule->is_over_share = true;
+    if (schedule->is_over_share != within_share) heap.push(*schedule);
   }
 }
 
-bool Policy::Impl::uses_its_share(const DestinationTurn& turn) const {
-  const double latency = turn.destination.latency.mean_seconds();
-  return turn.destination.concurrency_limit.is_reached(settings_.max_concurrent_calls, latency);
+bool Policy::Impl::uses_its_share(const DestinationTurn& schedule) const {
+  const double latency = schedule.destination.latency.mean_seconds();
+  return schedule.destination.concurrency_limit.is_reached(settings_.max_concurrent_calls, latency);
 }
 
-// Whether the last slot went to `sent` while others had yet to be looked at.
-bool Policy::Impl::leaves_any_behind(const DestinationTurns& turns, const SendCandidate& sent,
+// Whether candidates had not been considered yet when the last slot went to `sent`.
+bool Policy::Impl::leaves_any_behind(const DestinationTurns& schedules, const SendCandidate& sent,
                                      bool within_share) const {
   if (!may_cancel_late_calls()) return false;
-  return std::any_of(turns.begin(), turns.end(), [&](const DestinationTurn& turn) {
-    // Of a destination over its share what comes behind the last one sent within it is looked at later.
-    const bool has_left =
-        !turn.last_within_share ? !turn.queue.empty() : turn.order.has_any_after(*turn.last_within_share);
-    if (within_share) return turn.order.has_any_after(sent) || (turn.is_over_share && has_left);
-    const bool is_behind_both =
-        turn.order.has_any_after(turn.last_within_share ? std::max(sent, *turn.last_within_share) : sent);
-    return turn.is_over_share && is_behind_both;
+  return std::any_of(schedules.begin(), schedules.end(), [&](const DestinationTurn& schedule) {
+    // The second pass considers what follows the last message sent within the destination's share.
+    const bool has_remaining = !schedule.last_within_share
+                                   ? !schedule.queue.empty()
+                                   : schedule.order.has_any_after(*schedule.last_within_share);
+    if (within_share) return schedule.order.has_any_after(sent) || (schedule.is_over_share && has_remaining);
+    const bool follows_both = schedule.order.has_any_after(
+        schedule.last_within_share ? std::max(sent, *schedule.last_within_share) : sent);
+    return schedule.is_over_share && follows_both;
   });
 }
 
-// Whether the candidate was sent. Where nothing can be sent, all that would fare alike is left out.
-bool Policy::Impl::try_send(DestinationTurn& turn, const SendCandidate& candidate) {
+// Sends the candidate if possible, and returns whether it was sent. If not, candidates that would be refused
+// for the same reason are dropped.
+bool Policy::Impl::try_send(DestinationTurn& schedule, const SendCandidate& candidate) {
   Message& message = messages_.at(candidate.id);
-  turn.order.next();
-  const SendOrder::Class its_class = turn.order.class_of_next();
-  const auto fares_alike = [&](const SendOrder::Class& other) {
-    return other.group.required_zone == its_class.group.required_zone &&
-           other.is_late_for_limit == its_class.is_late_for_limit;
+  schedule.order.next();
+  const SendOrder::Class subgroup = schedule.order.class_of_next();
+  const auto has_same_obstacle = [&](const SendOrder::Class& other) {
+    return other.group.required_zone == subgroup.group.required_zone &&
+           other.is_late_for_limit == subgroup.is_late_for_limit;
   };
-  turn.order.pass();
-  if (message.is_retry && !turn.destination.retry_budget.can_retry()) {
-    turn.order.drop_if([](const SendOrder::Class& other) { return other.group.is_retry; });
+  schedule.order.pass();
+  if (message.is_retry && !schedule.destination.retry_budget.can_retry()) {
+    schedule.order.drop_if([](const SendOrder::Class& other) { return other.group.is_retry; });
     return false;
   }
-  if (shutdown_at_ - now_ < destinations_.latency_of(turn.destination).suspicion_age()) {
-    turn.order.drop_if([](const SendOrder::Class&) { return true; });
+  if (shutdown_at_ - now_ < destinations_.latency_of(schedule.destination).suspicion_age()) {
+    schedule.order.drop_if([](const SendOrder::Class&) { return true; });
     return false;
   }
   const StepContext step = context();
   const EndpointSelector selector(destinations_, idle_connections_, step);
-  const Selection selection = selector.select(directory_.of_destination(turn.number), message);
+  const Selection selection = selector.select(directory_.of_destination(schedule.number), message);
   wake_at(selection.check_again_at);
   if (selection.endpoint == nullptr) {
-    turn.order.drop_if(fares_alike);
+    schedule.order.drop_if(has_same_obstacle);
     return false;
   }
   EndpointState& endpoint = *selection.endpoint;
   const TrialCalls::Decision decision = may_send_trial(endpoint);
-  // Of several routes the next message may take another one.
+  // With independent endpoints, the next message may take another route.
   const bool has_one_route = !endpoint.route->key.is_one_endpoint();
-  if (decision == TrialCalls::Decision::kWait && has_one_route) turn.order.drop_if(fares_alike);
+  if (decision == TrialCalls::Decision::kWait && has_one_route) schedule.order.drop_if(has_same_obstacle);
   if (decision != TrialCalls::Decision::kSend) return false;
-  const StartedCall call = start_call(turn.destination, endpoint);
-  send(message, turn.destination, endpoint, call);
-  if (!endpoint.route->outage().needs_trial()) add_batch(turn, endpoint, call);
+  const StartedCall call = start_call(schedule.destination, endpoint);
+  send(message, schedule.destination, endpoint, call);
+  if (!endpoint.route->outage().needs_trial()) add_batch(schedule, endpoint, call);
   return true;
 }
 
@@ -210,8 +215,10 @@
   return call;
 }
 
-// Messages that go to one endpoint in one step may share a call: one slot, one call under the limit.
-void Policy::Impl::add_batch(const DestinationTurn& turn, EndpointState& endpoint, const StartedCall& call) {
+// Adds further messages to a call up to the batch size of its endpoint. Together they use one slot, and count
+// as one call for the rate limit.
+void Policy::Impl::add_batch(const DestinationTurn& schedule, EndpointState& endpoint,
+                             const StartedCall& call) {
   int remaining = max_batch_size(settings_, endpoint.info.kind) - 1;
   if (remaining <= 0) return;
   const StepContext step = context();
@@ -221,9 +228,9 @@
   const double route_rate = route_slow_start ? SlowStart::slow_start_rate(route.outage(), step) : 0;
   const double endpoint_rate = endpoint_slow_start ? endpoint.slow_start.slow_start_rate(step) : 0;
   const Time window = settings_.overload_window;
-  SendOrder order(turn.queue, now_, turn.latency_seconds, settings_.late_weight_halves);
-  order.drop_if([&](const SendOrder::Class& its_class) {
-    const int zone = its_class.group.required_zone;
+  SendOrder order(schedule.queue, now_, schedule.latency_seconds, settings_.late_weight_halves);
+  order.drop_if([&](const SendOrder::Class& subgroup) {
+    const int zone = subgroup.group.required_zone;
     return zone != kAnyZone && zone != endpoint.info.zone;
   });
   for (auto candidate = order.next(); candidate && remaining > 0; candidate = order.next()) {
@@ -232,14 +239,15 @@
         !slow_start_admits_batched(endpoint.slow_start.tokens(), endpoint_rate, window))
       return;
     order.pass();
-    // Over its share, a destination has only what comes behind the last one sent within it.
-    if (turn.is_over_share && turn.last_within_share && !(*turn.last_within_share < *candidate)) continue;
+    // The first pass has already considered all messages up to the last one sent within the share.
+    if (schedule.is_over_share && schedule.last_within_share && !(*schedule.last_within_share < *candidate))
+      continue;
     Message& message = messages_.at(candidate->id);
-    if (message.is_retry && !turn.destination.retry_budget.can_retry()) {
-      order.drop_if([](const SendOrder::Class& its_class) { return its_class.group.is_retry; });
+    if (message.is_retry && !schedule.destination.retry_budget.can_retry()) {
+      order.drop_if([](const SendOrder::Class& subgroup) { return subgroup.group.is_retry; });
       continue;
     }
-    send(message, turn.destination, endpoint, call);
+    send(message, schedule.destination, endpoint, call);
     --remaining;
   }
 }
@@ -270,7 +278,8 @@
   return settings_.cancellation_allowed && call_timeout_.late_calls_are_lost();
 }
 
-// Messages wait and no slot is free: frees the slots of late calls, once such calls proved lost, not slow.
+// Cancels late calls to free their slots, if late calls have mostly been lost rather than slow. Called when
+// messages wait and no slot is free.
 void Policy::Impl::cancel_late_calls() {
   if (!may_cancel_late_calls()) return;
   for (auto& [key, attempt] : attempts_) {
--- a/policy/endpoint_directory.cpp
+++ b/policy/endpoint_directory.cpp
@@ -13,8 +13,8 @@
 }
 
 EndpointState& EndpointDirectory::add_or_update(const EndpointInfo& info, const StepContext& context) {
-  const auto [place, is_new] = endpoints_.try_emplace(info.endpoint);
-  EndpointState& endpoint = place->second;
+  const auto [entry, is_new] = endpoints_.try_emplace(info.endpoint);
+  EndpointState& endpoint = entry->second;
   if (is_new) endpoint.tie_breaker = seconds(context.random.between(0, kSecond));
   endpoint.info = info;
   const bool independent = has_independent_endpoints(context.settings, info.kind);
--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -1,7 +1,7 @@
-// The listed endpoints, by address and by destination, and their routes.
+// Holds the listed endpoints, by address and by destination, and their routes.
 //
-// Invariants: an endpoint that is gone stays until its calls and health checks have ended; a route of one
-// endpoint leaves with it. Pointers to endpoints and routes are valid for as long.
+// Invariants: an endpoint that is gone stays until its calls and health checks have ended; a route of a
+// single endpoint is removed with it. Pointers to endpoints and routes are valid until then.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace turntally::policy {
 
-// How endpoints of a kind are called. Kinds that the settings do not list have the default.
+// Settings of an endpoint kind; a kind that the settings do not list has the defaults of KindSettings.
 int max_batch_size(const Settings& settings, int kind);
 bool has_independent_endpoints(const Settings& settings, int kind);
 
@@ -20,7 +20,7 @@
  public:
   using DestinationEndpoints = std::map<Endpoint, EndpointState*>;
 
-  // Adds an endpoint or updates what is listed of it.
+  // Adds an endpoint, or replaces its listed information.
   EndpointState& add_or_update(const EndpointInfo& info, const StepContext& context);
   void mark_all_gone();
   void remove_gone();
@@ -29,7 +29,7 @@
   EndpointState& at(const Endpoint& endpoint) { return endpoints_.at(endpoint); }
   const std::map<Endpoint, EndpointState>& all() const { return endpoints_; }
 
-  // The endpoints of a destination; the first call for an unknown one adds it without endpoints.
+  // Returns the endpoints of a destination. A destination that is unknown is added without endpoints.
   DestinationEndpoints& of_destination(int destination) { return by_destination_[destination]; }
   const DestinationEndpoints* find_destination(int destination) const;
 
@@ -37,16 +37,16 @@
   const Route* find_route(const RouteKey& key) const;
   ptrdiff_t count_ready(const Route& route) const;
 
-  // Routes in an outage, or with calls failed or overdue, are looked at in each step.
+  // Adds the route to those that each step checks: routes in an outage, or with failed or overdue calls.
   void observe(Route& route) { observed_routes_[route.key] = &route; }
   std::map<RouteKey, Route*>& observed_routes() { return observed_routes_; }
 
-  // Endpoints that are suspended, ejected, or in an outage without recovery.
+  // Counts the endpoints that are suspended, ejected, or in an outage without recovery.
   size_t count_ejected(Time now) const;
 
  private:
   std::map<Endpoint, EndpointState> endpoints_;
-  std::set<Endpoint> gone_;  // of these, those that may still have calls in flight
+  std::set<Endpoint> gone_;  // endpoints to remove once they have no calls in flight
   std::map<int, DestinationEndpoints> by_destination_;
   std::map<RouteKey, Route> routes_;
   std::map<RouteKey, Route*> observed_routes_;
--- a/policy/endpoint_selector.cpp
+++ b/policy/endpoint_selector.cpp
@@ -7,8 +7,8 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kTieBreakerSeconds = 0.01;  // less than the differences that matter
-constexpr double kSecondsPerCost = 5;        // latency that a cost of 1 for a call is weighed against
+constexpr double kTieBreakerSeconds = 0.01;  // smaller than relevant differences
+constexpr double kSecondsPerCost = 5;        // latency that is equivalent to a cost of 1 for a call
 constexpr double kLoadFactorPerCall = 0.5;
 constexpr double kMinHeadroom = 0.1;
 
--- a/policy/endpoint_selector.h
+++ b/policy/endpoint_selector.h
@@ -1,5 +1,5 @@
-// Decides which endpoint of a destination a message goes to: of those that admit it now, the one of the least
-// cost. Costs are in seconds of latency.
+// Selects the endpoint of a destination for a message: of the endpoints that admit it now, the one with the
+// lowest cost. Costs are in seconds of latency.
 #pragma once
 
 #include "policy/destination.h"
@@ -10,7 +10,7 @@
 
 struct Selection {
   EndpointState* endpoint = nullptr;  // null: none admits the message now
-  Time check_again_at = kNever;       // when another one may admit it
+  Time check_again_at = kNever;       // when another endpoint may admit it
 };
 
 class EndpointSelector {
@@ -21,7 +21,7 @@
 
   Selection select(const EndpointDirectory::DestinationEndpoints& endpoints, const Message& message) const;
 
-  // Whether a call to the endpoint opens a connection.
+  // Whether a call to the endpoint would open a connection.
   bool needs_connection(const EndpointState& endpoint) const;
 
  private:
--- a/policy/endpoint_state.h
+++ b/policy/endpoint_state.h
@@ -1,4 +1,4 @@
-// What is known of one listed endpoint.
+// State of one listed endpoint.
 #pragma once
 
 #include "policy/idle_connections.h"
@@ -14,7 +14,7 @@
   bool suspended = false;  // by an operator
   EndpointSlowStart slow_start;
   bool health_check_in_flight = false;
-  double tie_breaker = 0;  // drawn once, in [0, 1]: otherwise all relays would try the same of equals first
+  double tie_breaker = 0;  // random, in [0, 1], so that relays do not all prefer the same of equal endpoints
   int calls = 0;           // in flight
   EndpointConnections connections;
   OutlierEjection ejection;
--- a/policy/final_answers.cpp
+++ b/policy/final_answers.cpp
@@ -1,4 +1,4 @@
-// The end of messages: those that cannot be delivered, and those that are shed.
+// Ends messages: those that cannot be delivered any more, and those that are shed.
 #include <algorithm>
 
 #include "policy/idempotency.h"
@@ -8,7 +8,7 @@
 namespace turntally::policy {
 namespace {
 
-// Bounds of the time that a rejected client should wait, without the random pause.
+// Bounds of the retry-after for a rejected client, before the random pause is added.
 constexpr Time kMinClientRetryAfter = 300 * kMillisecond;
 constexpr Time kMaxClientRetryAfter = 1500 * kMillisecond;
 
@@ -26,15 +26,15 @@
   wake_at(waiting_.next_last_start());
 }
 
-// Waiting messages that cannot be delivered any more: out of attempts or time, or with retry-after times that
-// block every route for as long as they live; by id.
+// Returns the ids of waiting messages that cannot be delivered any more, in ascending order: they have no
+// attempts or no time left, or retry-after times block every route until their last start.
 std::vector<uint64_t> Policy::Impl::undeliverable() {
   std::vector<uint64_t> ids = waiting_.expired(now_);
   std::erase_if(blocked_destinations_, [this](const auto& entry) { return entry.second <= now_; });
   for (const auto& [destination, until] : blocked_destinations_) {
-    const Time opens = opens_at(destination);
-    if (opens == kNever || opens <= now_) continue;
-    const std::vector<uint64_t> blocked = waiting_.last_start_until(destination, opens);
+    const Time open_at = opens_at(destination);
+    if (open_at == kNever || open_at <= now_) continue;
+    const std::vector<uint64_t> blocked = waiting_.last_start_until(destination, open_at);
     ids.insert(ids.end(), blocked.begin(), blocked.end());
   }
   std::sort(ids.begin(), ids.end());
@@ -61,7 +61,7 @@
   if (message.is_ordered()) {
     const uint64_t key = message.arrival.ordering_key;
     message_ordering_.remove(key, id);
-    // The next call must not be there ahead of the answer.
+    // The next message's call must not arrive before the client has this final answer.
     if (answer) message_ordering_.hold_until(key, now_ + kMaxRandomPause);
   }
   if (answer) actions_->push_back(*answer);
@@ -69,29 +69,30 @@
   messages_.erase(found);
 }
 
-// When the first of the destination's ready routes is not blocked by a retry-after; kNever: none is ready.
+// Returns when the first of the destination's ready routes is no longer blocked by a retry-after; kNever: no
+// endpoint is ready.
 Time Policy::Impl::opens_at(int destination) const {
   const auto* endpoints = directory_.find_destination(destination);
   if (endpoints == nullptr) return kNever;
-  Time opens = kNever;
+  Time earliest = kNever;
   for (const auto& [address, endpoint] : *endpoints) {
-    if (endpoint->is_ready()) opens = std::min(opens, endpoint->route->blocked_until());
+    if (endpoint->is_ready()) earliest = std::min(earliest, endpoint->route->blocked_until());
   }
-  return opens;
+  return earliest;
 }
 
-// When a client's retry has a chance again: after a retry-after, or a turn at the send rate. Random, so that
-// what was rejected together does not come back together.
+// Returns when a retry by the client may succeed: after a retry-after, or one interval of the send rate. A
+// random part keeps clients that were rejected together from retrying together.
 Time Policy::Impl::client_retry_after(const Message& message) {
-  Time soonest = kMaxClientRetryAfter;
+  Time shortest_wait = kMaxClientRetryAfter;
   for (const auto& [address, endpoint] : directory_.of_destination(message.arrival.destination)) {
     const Route& route = *endpoint->route;
     if (!endpoint->is_ready() || route.outage().needs_trial()) continue;
     const Time wait = std::max(route.blocked_until() - now_, route.rate_limiter.send_interval());
-    soonest = std::min(soonest, wait);
+    shortest_wait = std::min(shortest_wait, wait);
   }
-  const Time after =
-      std::clamp(soonest, kMinClientRetryAfter, kMaxClientRetryAfter) + random_.between(0, kMaxRandomPause);
+  const Time after = std::clamp(shortest_wait, kMinClientRetryAfter, kMaxClientRetryAfter) +
+                     random_.between(0, kMaxRandomPause);
   return settings_.max_retry_after > 0 ? std::min(after, settings_.max_retry_after) : after;
 }
 
--- a/policy/idempotency.cpp
+++ b/policy/idempotency.cpp
@@ -5,18 +5,18 @@
 namespace turntally::policy {
 namespace {
 
-// A process may be delayed by so much between reading its clock and writing.
+// Time that a process may be delayed between reading its clock and writing.
 constexpr Time kWindowMargin = 150 * kMillisecond;
 
 }  // namespace
 
 bool safe_to_reject(const Message& message) {
-  const ClassSettings& terms = message.terms;
-  if (terms.idempotency == Idempotency::kIdempotent || !message.arrival.may_have_run) return true;
-  // Its outcome is unknown: a client's retry might come after the deduplication window.
+  const ClassSettings& class_settings = message.terms;
+  if (class_settings.idempotency == Idempotency::kIdempotent || !message.arrival.may_have_run) return true;
+  // How that attempt ended is unknown: a client's retry might come after the deduplication window.
   if (message.may_have_run_before_restart) return false;
-  return terms.idempotency == Idempotency::kIdempotentWithKey &&
-         terms.deduplication_scope == DeduplicationScope::kAll;
+  return class_settings.idempotency == Idempotency::kIdempotentWithKey &&
+         class_settings.deduplication_scope == DeduplicationScope::kAll;
 }
 
 Time attempts_end(const Message& message, Time tick) {
--- a/policy/idempotency.h
+++ b/policy/idempotency.h
@@ -1,5 +1,5 @@
-// Decides what the idempotency of a message's class allows: another attempt, where, until when, and whether
-// the client may be invited to retry.
+// Decides what the idempotency of a message's class allows: whether, where and until when another attempt may
+// be made, and whether the client may be told to retry.
 #pragma once
 
 #include "policy/message.h"
@@ -9,16 +9,18 @@
 // Whether a retry by the client is harmless, so that the message may end with a Reject.
 bool safe_to_reject(const Message& message);
 
-// From when on no further attempt is allowed: kAlways, kNever or a point in time. `tick` in microseconds.
+// Returns the time from which no further attempt is allowed: kAlreadyPast, kNever or a point in time. `tick`
+// is in microseconds.
 Time attempts_end(const Message& message, Time tick);
 
-// The last time at which the first byte of a retry with an idempotency key may be written.
+// Returns the last time at which the first byte of a retry with an idempotency key may be written.
 Time deduplication_window_end(const Message& message, Time tick);
 
-// Whether the message's attempts depend on a deduplication window: it has a key, and one may have run.
+// Whether the deduplication window bounds further attempts: the class has idempotency keys, and an attempt
+// may have run.
 bool needs_deduplication(const Message& message);
 
-// Whether an endpoint in this zone would recognize a repeat of the message, where that is needed.
+// Whether an endpoint in this zone would recognize a repeat of the message, or need not.
 bool endpoint_deduplicates(const Message& message, int zone);
 
 }  // namespace turntally::policy
--- a/policy/idle_connections.cpp
+++ b/policy/idle_connections.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr Time kAgeDoublingTime = 30 * kSecond;
-constexpr int kAgeCutDivisor = 3;                       // of the idle time after which a call was lost
-constexpr double kFullTableShare = 0.05;                // connect failures above it mean full tables
-constexpr Time kServedSoonAfter = 2500 * kMillisecond;  // served so soon, the endpoint was up all along
+constexpr int kAgeCutDivisor = 3;                       // divides the idle time before a lost call
+constexpr double kFullTableShare = 0.05;                // more connect failures mean full connection tables
+constexpr Time kServedSoonAfter = 2500 * kMillisecond;  // an endpoint that serves this soon was never down
 constexpr double kSignificantLossDifference = 0.2;
 
 }  // namespace
 
 Time IdleConnections::max_idle_age(Time now, const Settings& settings) const {
   const double doublings = seconds(now - max_idle_age_set_at_) / seconds(kAgeDoublingTime);
-  const double grown = seconds(max_idle_age_) * std::exp2(doublings);
-  return std::min(settings.connection_idle_timeout, microseconds(grown));
+  const double grown_age_seconds = seconds(max_idle_age_) * std::exp2(doublings);
+  return std::min(settings.connection_idle_timeout, microseconds(grown_age_seconds));
 }
 
 bool IdleConnections::connection_tables_full(int kind) {
@@ -50,11 +50,12 @@
 
   double& loss = result.connection_idle == 0 ? fresh_connection_loss_ : idle_connection_loss_;
   loss -= kSampleWeight * loss;
-  const Time lost_after = std::exchange(connections.idle_before_lost_call, 0);
-  if (lost_after == 0 || result.in_outage) return;
+  const Time idle_before_loss = std::exchange(connections.idle_before_lost_call, 0);
+  if (idle_before_loss == 0 || result.in_outage) return;
   idle_connection_loss_ += kSampleWeight * (1 - idle_connection_loss_);
   if (idle_connection_loss_ < fresh_connection_loss_ + kSignificantLossDifference) return;
-  max_idle_age_ = std::min(max_idle_age(now, settings), std::max(lost_after / kAgeCutDivisor, settings.tick));
+  max_idle_age_ =
+      std::min(max_idle_age(now, settings), std::max(idle_before_loss / kAgeCutDivisor, settings.tick));
   max_idle_age_set_at_ = now;
 }
 
--- a/policy/idle_connections.h
+++ b/policy/idle_connections.h
@@ -1,8 +1,9 @@
-// Decides up to which age an idle connection is used again.
+// Decides up to which idle time a connection is reused.
 //
-// Idle connections can be dropped unnoticed. The age shrinks when calls on idle connections are lost more
-// often than calls on fresh ones, and grows again with time. A lost call, or one without a connection, says
-// something about connections only where the endpoint serves soon after: otherwise the endpoint was down.
+// Idle connections can be dropped without notice. The maximum idle time shrinks when calls on idle
+// connections are lost more often than calls on new ones, and grows again with time. A lost call or a failed
+// connection is evidence about connections only if the endpoint serves a call soon after; otherwise the
+// endpoint was down.
 #pragma once
 
 #include <map>
@@ -14,18 +15,18 @@
 
 // The connections of one endpoint.
 struct EndpointConnections {
-  int open = 0;  // assumed to be
+  int open = 0;  // number of connections that are assumed to be open
   Time last_used = 0;
   int consecutive_connect_failures = 0;
   Time connect_failures_since = 0;
-  Time idle_before_lost_call = 0;  // idle time of the lost last call's connection; 0: it was not lost
+  Time idle_before_lost_call = 0;  // idle time of the connection before the last call was lost; 0: not lost
 };
 
 class IdleConnections {
  public:
   struct CallResult {
     Outcome outcome = Outcome::kOk;
-    Time connection_idle = 0;  // microseconds; 0: fresh or busy
+    Time connection_idle = 0;  // microseconds; 0: new or in use
     int kind = 0;
     bool in_outage = false;
   };
@@ -34,7 +35,8 @@
   Time max_idle_age(Time now, const Settings& settings) const;
   void learn(const CallResult& result, EndpointConnections& connections, Time now, const Settings& settings);
 
-  // Whether many calls to endpoints of the kind get no connection: then idle ones fill their tables.
+  // Whether so many calls to endpoints of the kind get no connection that idle connections must be filling
+  // the endpoints' connection tables.
   bool connection_tables_full(int kind);
 
  private:
@@ -42,7 +44,7 @@
                           const Settings& settings);
 
   double idle_connection_loss_ = 0;   // share of calls on idle connections that were lost
-  double fresh_connection_loss_ = 0;  // and of calls on fresh ones
+  double fresh_connection_loss_ = 0;  // share of calls on new connections that were lost
   Time max_idle_age_ = 3600 * kSecond;
   Time max_idle_age_set_at_ = 0;
   std::map<int, double> connect_failure_share_;  // by kind
--- a/policy/list_watch.h
+++ b/policy/list_watch.h
@@ -1,5 +1,5 @@
-// Decides when to open a watch on the list of endpoints: at the start, and after a failure with a pause that
-// doubles from one failure to the next.
+// Decides when to open a watch on the list of endpoints: at the start, and after each failure, with
+// exponential backoff.
 #pragma once
 
 #include <limits>
@@ -11,12 +11,12 @@
 class ListWatch {
  public:
   void on_list_received();
-  // `poll_interval` in microseconds: half of it bounds the pause.
+  // `poll_interval`, in microseconds: half of it, but at least a second, bounds the pause.
   void on_failed(Time now, Time poll_interval);
   void on_opened() { open_ = true; }
 
   bool is_open() const { return open_; }
-  // When a watch that is not open may be opened.
+  // Returns when a watch that is not open may be opened.
   Time open_at() const { return open_at_; }
 
  private:
--- a/policy/load_report.h
+++ b/policy/load_report.h
@@ -1,4 +1,4 @@
-// Reads values from the load report of an answer.
+// Reads the load report that an endpoint adds to its answers.
 #pragma once
 
 #include <vector>
@@ -7,11 +7,11 @@
 
 namespace turntally::policy {
 
-// The value at `index`, or `fallback` where it is not reported or is no finite number from 0 up.
+// Returns the value at `index`, or `fallback` if it is not reported, not finite or negative.
 double reported_value(const std::vector<float>& report, int index, double fallback);
 
 struct LoadReport {
-  double limit = -1;           // calls a second from all relays together; 0: none; -1: not reported
+  double limit = -1;           // calls per second of all relays together; 0: no limit; -1: not reported
   double limit_remaining = 1;  // share of the limit, from 0 to 1
 };
 
--- a/policy/load_shedder.cpp
+++ b/policy/load_shedder.cpp
@@ -5,7 +5,7 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kShedAboveShare = 0.9;  // of the messages that may be pending
+constexpr double kShedAboveShare = 0.9;  // share of the maximum number of pending messages
 
 }  // namespace
 
--- a/policy/message_ordering.cpp
+++ b/policy/message_ordering.cpp
@@ -27,7 +27,7 @@
   hold.until = std::max(hold.until, until);
 }
 
-// Other messages of a batch may keep its call in flight after the pause.
+// A hold outlasts its pause as long as other messages of the same batch keep the call in flight.
 void MessageOrdering::release_expired(Time now, const CallsInFlight& calls) {
   std::erase_if(ordering_holds_, [&](const auto& entry) {
     const bool is_over = entry.second.until <= now && !calls.contains(entry.second.call);
--- a/policy/message_ordering.h
+++ b/policy/message_ordering.h
@@ -1,8 +1,9 @@
 // Decides which message of an ordering key may be sent next.
 //
-// Messages of one key go one at a time, in the order of arrival. After a call whose outcome is unknown, the
-// other messages of the key wait until the call is over and a pause has passed; after a final answer without
-// success they wait for a short pause; relay/message_ordering.h waits until the client has acknowledged it.
+// Messages of one key are sent one at a time, in the order of arrival. After a call whose outcome is unknown,
+// the other messages of the key wait until the call is over and a pause has passed. After a final answer
+// without success they wait for a short pause; relay/message_ordering.h also waits until the client has
+// acknowledged that answer.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 class MessageOrdering {
  public:
-  // Whether the key's first message may be sent.
+  // Whether the first message of a key may be sent.
   struct Turn {
     bool is_next = false;
     Time check_again_at = kNever;  // when a hold ends
@@ -27,19 +28,19 @@
   void enqueue(uint64_t key, uint64_t message, bool ahead_of_others);
   void remove(uint64_t key, uint64_t message);
 
-  // Holds the key's other messages after a call of `message` whose outcome is unknown.
+  // Holds the key's messages other than `message`, whose call ended with an unknown outcome.
   void hold_after_call(uint64_t key, Time until, uint64_t message, uint64_t call);
-  // Holds all messages of the key at least until then.
+  // Holds the key's messages at least until that time.
   void hold_until(uint64_t key, Time until);
   void release_expired(Time now, const CallsInFlight& calls);
 
-  // The key's first message; nothing: it has none.
+  // Returns the key's first message, or nothing if it has none.
   std::optional<uint64_t> first(uint64_t key) const;
   Turn turn_of_first(uint64_t key, Time now, const CallsInFlight& calls) const;
 
-  // Notes that something else has changed for the key's first message.
+  // Records another change that may affect the key's first message.
   void on_changed(uint64_t key) { changed_keys_.insert(key); }
-  // The keys whose turn may have changed since the last call, and those that are held.
+  // Returns the keys that changed since the last call, and those that are held.
   std::set<uint64_t> take_changed();
 
  private:
--- a/policy/message_priority.cpp
+++ b/policy/message_priority.cpp
@@ -14,21 +14,22 @@
 }  // namespace
 
 WeightTerms weight_terms(const Message& message) {
-  const ClassSettings& terms = message.terms;
-  return {message.full_weight, terms.late_weight_share, terms.latency_objective,
+  const ClassSettings& class_settings = message.terms;
+  return {message.full_weight, class_settings.late_weight_share, class_settings.latency_objective,
           message.arrival.deadline - message.full_weight_until};
 }
 
-double weight_at(const WeightTerms& terms, Time full_weight_until, Time at, bool late_weight_halves) {
-  if (at <= full_weight_until) return terms.full_weight;
-  if (at >= full_weight_until + terms.late_span) return 0;
+double weight_at(const WeightTerms& parameters, Time full_weight_until, Time at, bool late_weight_halves) {
+  if (at <= full_weight_until) return parameters.full_weight;
+  if (at >= full_weight_until + parameters.late_span) return 0;
   const double late = seconds(at - full_weight_until);
   if (late_weight_halves) {
-    const double halved = std::exp2(-late / seconds(terms.latency_objective));
-    return terms.full_weight * std::max(terms.late_weight_share, halved);
+    const double halved = std::exp2(-late / seconds(parameters.latency_objective));
+    return parameters.full_weight * std::max(parameters.late_weight_share, halved);
   }
-  const double span = seconds(terms.late_span);
-  return terms.full_weight * (1 - (1 - terms.late_weight_share) * late / std::max(kMinLateSpanSeconds, span));
+  const double span = seconds(parameters.late_span);
+  return parameters.full_weight *
+         (1 - (1 - parameters.late_weight_share) * late / std::max(kMinLateSpanSeconds, span));
 }
 
 double weight_at(const Message& message, Time at, bool late_weight_halves) {
--- a/policy/message_priority.h
+++ b/policy/message_priority.h
@@ -1,4 +1,4 @@
-// Decides the weight of delivering a message at a given time, and from it the order of sending.
+// Computes the weight of delivering a message at a given time, and from it the order of sending.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace turntally::policy {
 
-// What the weight of a message depends on beside its age.
+// The parameters of a message's weight besides its age.
 struct WeightTerms {
   double full_weight = 0;
   double late_weight_share = 0;  // share of the weight that remains at the deadline
   Time latency_objective = 0;
-  Time late_span = 0;  // from the end of the full weight to the deadline
+  Time late_span = 0;  // time from the end of the full weight to the deadline
   friend bool operator<(const WeightTerms& a, const WeightTerms& b) {
     return std::tie(a.full_weight, a.late_weight_share, a.latency_objective, a.late_span) <
            std::tie(b.full_weight, b.late_weight_share, b.latency_objective, b.late_span);
@@ -22,14 +22,15 @@
 
 WeightTerms weight_terms(const Message& message);
 
-// The weight at `at` of a message that has its full weight until `full_weight_until`: then less, and 0 from
-// the deadline on. With `late_weight_halves` it halves with each further latency objective, otherwise it
-// falls linearly. Of two messages with the same terms the one whose full weight ends later never has less.
-double weight_at(const WeightTerms& terms, Time full_weight_until, Time at, bool late_weight_halves);
+// Returns the weight at `at` of a message that has its full weight until `full_weight_until`. Afterwards it
+// halves with each further latency objective if `late_weight_halves` is set, and falls linearly otherwise;
+// from the deadline on it is 0. Of two messages with the same parameters, the one whose full weight ends
+// later never has the lower weight.
+double weight_at(const WeightTerms& parameters, Time full_weight_until, Time at, bool late_weight_halves);
 double weight_at(const Message& message, Time at, bool late_weight_halves);
 
-// A message that may be sent. The smallest one goes first: the most weight for each second of a slot, then
-// the earliest objective, then the oldest id.
+// A message that may be sent. The smallest candidate is sent first: the one with the highest weight per
+// second of slot use, then with the earliest end of its full weight, then with the lowest id.
 struct SendCandidate {
   double negated_weight_per_slot_second = 0;
   Time full_weight_until = 0;
@@ -40,7 +41,7 @@
   }
 };
 
-// `weight`: at the time of the delivery.
+// `weight` is the weight at the time of delivery.
 double negated_weight_per_slot_second(double weight, double latency_seconds);
 
 }  // namespace turntally::policy
--- a/policy/outage_detector.cpp
+++ b/policy/outage_detector.cpp
@@ -8,14 +8,14 @@
 constexpr int kMinConsecutiveFailures = 3;
 constexpr int kMinDefiniteFailures = 2;
 constexpr Time kMinFailureSpan = 800 * kMillisecond;
-constexpr int kMinFailuresInRecovery = 2;  // in a row
-constexpr int kMinOverdueCalls = 2;        // with nothing served since
+constexpr int kMinFailuresInRecovery = 2;  // consecutive
+constexpr int kMinOverdueCalls = 2;        // with no call served since they were sent
 
 }  // namespace
 
 OutageDetector::Change OutageDetector::on_served(Time sent, Time now) {
   newest_served_sent_ = std::max(newest_served_sent_, sent);
-  if (sent >= failures_since_) {  // an earlier one may have run before the first failure
+  if (sent >= failures_since_) {  // a call sent earlier may have been served before the first failure
     consecutive_failures_ = definite_failures_ = 0;
     has_unanswered_call_ = false;
   }
@@ -37,7 +37,7 @@
     has_unanswered_call_ = has_unanswered_call_ || now - sent >= kMinFailureSpan;
     suspected_ = false;
   }
-  // Outcomes of calls from before the recovery are no news.
+  // Calls that were sent before the recovery are no evidence against it.
   const bool sent_in_recovery = state_.recovering_since != 0 && sent > state_.recovering_since;
   if (!sent_in_recovery || !definite || consecutive_failures_ < kMinFailuresInRecovery) return Change::kNone;
   state_.recovering_since = 0;
@@ -56,11 +56,12 @@
   const Time span = now - failures_since_;
   const bool enough_failures = consecutive_failures_ >= kMinConsecutiveFailures;
   if (enough_failures && definite_failures_ >= kMinDefiniteFailures && span >= kMinFailureSpan)
-    return Evidence{"calls fail"};
-  if (enough_failures && span >= kMaxLimitSpan) return Evidence{"all refused"};
+    return Evidence{"calls failed"};
+  if (enough_failures && span >= kMaxLimitSpan) return Evidence{"all calls rejected"};
   if (has_unanswered_call_ && observation.fleet_exceeds_trial_budget) return Evidence{"a call got no answer"};
-  if (consecutive_failures_ > 0 && observation.no_endpoint_ready) return Evidence{"failed and left the list"};
-  // A failed call without an answer counts as overdue, and is more than a suspicion.
+  if (consecutive_failures_ > 0 && observation.no_endpoint_ready)
+    return Evidence{"calls failed and no endpoint is ready"};
+  // A failed call without an answer counts as an overdue call, and makes the outage more than a suspicion.
   if (observation.overdue_calls + (has_unanswered_call_ ? 1 : 0) >= kMinOverdueCalls)
     return Evidence{"calls overdue", !has_unanswered_call_};
   return std::nullopt;
--- a/policy/outage_detector.h
+++ b/policy/outage_detector.h
@@ -1,10 +1,11 @@
-// Decides whether a route is in an outage, from calls that fail, are rejected or stay without an answer, and
-// when it recovers.
+// Decides whether a route is in an outage, from calls that fail, are rejected or get no answer, and when it
+// recovers.
 //
-// An outage begins when the evidence suffices, recovers with the first served call that was sent in it, and
-// ends when the slow start is over. Times are points in time, in microseconds.
+// An outage begins when there is enough evidence. Its recovery begins when a call that was sent during the
+// outage is served, and it ends when the slow start is over. Times are points in time, in microseconds.
 //
-// Invariant: within an outage, recovering_since is 0 until its recovery begins, and again once it fails.
+// Invariant: during an outage, recovering_since is 0 until the recovery begins, and again after it has
+// failed.
 #pragma once
 
 #include <optional>
@@ -13,12 +14,12 @@
 
 namespace turntally::policy {
 
-constexpr Time kMaxLimitSpan = 2500 * kMillisecond;  // rejections that last longer come from no rate limit
+constexpr Time kMaxLimitSpan = 2500 * kMillisecond;  // longer rejections do not come from a rate limit
 
 struct OutageState {
   Time outage_since = 0;          // 0: no outage
-  Time recovering_since = 0;      // 0: not yet served again
-  double rate_before_outage = 0;  // own served calls a second
+  Time recovering_since = 0;      // 0: not recovering
+  double rate_before_outage = 0;  // calls per second that this relay had served
 
   bool in_outage() const { return outage_since != 0; }
   bool needs_trial() const { return outage_since != 0 && recovering_since == 0; }
@@ -34,16 +35,17 @@
 
   struct Evidence {
     const char* description = "";
-    bool suspicion_only = false;  // overdue calls are all there is
+    bool suspicion_only = false;  // the only evidence is overdue calls
   };
 
   enum class Change { kNone, kWasOnlySlow, kRecovering, kFailsAgain, kWarmedUp };
 
   Change on_served(Time sent, Time now);
-  // `definite`: a failure rather than a rejection.
+  // `definite` is true for a failure and false for a rejection.
   Change on_failure(Time sent, bool definite, Time now);
 
-  // Whether a call sent later was served, so that this one's failure does not show that the route is down.
+  // Whether a call sent later than `sent` was served, so that this call's failure is no evidence of an
+  // outage.
   bool is_outdated(Time sent) const { return sent < newest_served_sent_; }
 
   Time newest_served_sent() const { return newest_served_sent_; }
@@ -63,10 +65,10 @@
  private:
   OutageState state_;
   bool suspected_ = false;
-  int consecutive_failures_ = 0;      // rejections included
-  int definite_failures_ = 0;         // of these
-  bool has_unanswered_call_ = false;  // one of them took long
-  Time failures_since_ = 0;           // when the first of them was sent
+  int consecutive_failures_ = 0;      // including rejections
+  int definite_failures_ = 0;         // consecutive failures other than rejections
+  bool has_unanswered_call_ = false;  // a definite failure took so long that the call got no answer
+  Time failures_since_ = 0;           // when the first call of the consecutive failures was sent
   Time newest_served_sent_ = std::numeric_limits<Time>::min();
 };
 
--- a/policy/outlier_ejection.h
+++ b/policy/outlier_ejection.h
@@ -1,4 +1,5 @@
-// Decides for how long a failing endpoint is passed over: a second, doubled with each further failure.
+// Decides for how long a failing endpoint is ejected: one second, doubled with each consecutive failure up to
+// kMaxEjection.
 #pragma once
 
 #include "policy/time.h"
@@ -11,7 +12,7 @@
  public:
   void on_served();
   void on_failure(Time now);
-  // Ends the ejection; earlier failures still count.
+  // Ends the ejection. Earlier failures still count.
   void readmit() { ejected_until_ = 0; }
 
   bool is_ejected(Time now) const { return ejected_until_ > now; }
--- a/policy/policy.cpp
+++ b/policy/policy.cpp
@@ -1,4 +1,4 @@
-// The front of the policy: its steps, and the events other than an attempt's end.
+// Runs the steps of the policy, and handles all events other than the end of an attempt.
 #include "turntally/policy.h"
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 namespace turntally::policy {
 namespace {
 
-// Where a zone of the settings before stands in the new ones; -1: nowhere.
+// Returns the new index of a zone of the former settings, or -1 if the zone was removed.
 int renumbered_zone(const std::vector<int>& zones, int zone) {
   if (zones.empty()) return zone;
-  const bool is_known = zone >= 0 && zone < static_cast<int>(zones.size());
-  return is_known ? zones[static_cast<size_t>(zone)] : -1;
+  const bool is_valid_index = zone >= 0 && zone < static_cast<int>(zones.size());
+  return is_valid_index ? zones[static_cast<size_t>(zone)] : -1;
 }
 
 }  // namespace
@@ -43,15 +43,13 @@
   schedule_timer();
 }
 
-// ---- Settings ----
-
 void Policy::Impl::apply_settings(Settings settings) {
   if (settings.classes.empty()) throw std::invalid_argument("settings hold no class");
   if (settings.tenants != settings_.tenants) tenant_quota_.forget_all();
   settings_ = std::move(settings);
   longest_lifetime_ = kSecond;
-  for (const ClassSettings& c : settings_.classes)
-    longest_lifetime_ = std::max(longest_lifetime_, c.max_lifetime);
+  for (const ClassSettings& class_settings : settings_.classes)
+    longest_lifetime_ = std::max(longest_lifetime_, class_settings.max_lifetime);
 }
 
 void Policy::Impl::handle(const SettingsChanged& event) {
@@ -64,7 +62,7 @@
   for (const auto& [address, endpoint] : directory_.all()) update_endpoint(EndpointInfo(endpoint.info));
 }
 
-// What they are ordered by depends on the settings.
+// Rebuilds the queues of waiting messages, whose order depends on the settings.
 void Policy::Impl::requeue_waiting_messages() {
   waiting_.clear();
   for (const auto& [id, message] : messages_) {
@@ -73,8 +71,6 @@
   }
 }
 
-// ---- Endpoints ----
-
 void Policy::Impl::handle(const EndpointListChanged& event) {
   if (event.form == EndpointListChanged::Form::kFailed) {
     list_watch_.on_failed(now_, settings_.list_poll_interval);
@@ -140,16 +136,17 @@
   list_watch_.on_opened();
 }
 
-// A hang gives no outcomes: overdue calls, with nothing served since, are evidence too.
+// Checks all observed routes for outages. An endpoint that hangs reports no outcomes, so overdue calls with
+// nothing served since they were sent count as evidence too.
 void Policy::Impl::detect_outages() {
   std::map<const Route*, int> overdue;
   for (const auto& [key, attempt] : attempts_) {
     const EndpointState& endpoint = directory_.at(attempt.endpoint);
     Route& route = *endpoint.route;
     if (route.served.last_event_at() > attempt.sent) continue;
-    const Time suspicious_at = attempt.sent + suspicion_age(endpoint);
-    wake_at(suspicious_at);
-    if (now_ < suspicious_at) continue;
+    const Time suspected_at = attempt.sent + suspicion_age(endpoint);
+    wake_at(suspected_at);
+    if (now_ < suspected_at) continue;
     ++overdue[&route];
     directory_.observe(route);
   }
@@ -173,8 +170,6 @@
   }
 }
 
-// ---- Messages ----
-
 void Policy::Impl::handle(const MessageArrived& event) {
   if (event.message_class < 0 || event.message_class >= static_cast<int>(settings_.classes.size()))
     throw std::invalid_argument("unknown class of message " + std::to_string(event.id));
@@ -183,10 +178,11 @@
   Message& message = messages_[event.id];
   message.arrival = event;
   message.terms = settings_.classes[event.message_class];
-  const ClassSettings& terms = message.terms;
+  const ClassSettings& class_settings = message.terms;
   message.max_attempts = event.max_attempts > 0 ? event.max_attempts : settings_.max_attempts;
-  message.full_weight_until = event.deadline - terms.max_lifetime + terms.latency_objective;
-  message.full_weight = terms.priority_weight * tenant_quota_.weight_share(event.tenant, now_, settings_);
+  message.full_weight_until = event.deadline - class_settings.max_lifetime + class_settings.latency_objective;
+  message.full_weight =
+      class_settings.priority_weight * tenant_quota_.weight_share(event.tenant, now_, settings_);
   message.is_retry = event.attempts > 0;
   message.may_have_run_before_restart = event.may_have_run;
   if (message.is_ordered()) message_ordering_.enqueue(event.ordering_key, event.id, event.ahead_in_order);
@@ -197,7 +193,7 @@
   }
 }
 
-// The call counts like one of this process.
+// Counts the message's call, which the previous process made, like a call of this process.
 void Policy::Impl::resume_call(Message& message) {
   const MessageArrived::InFlightCall& in_flight = *message.arrival.in_flight;
   EndpointState& endpoint = directory_.at(in_flight.endpoint);
@@ -211,7 +207,7 @@
       endpoint.info.endpoint, in_flight.sent, CallsInFlight::number_of_resumed(in_flight.call)};
 }
 
-// It needs no answer any more, but while its call is in flight it keeps its place in the order.
+// A withdrawn message needs no final answer, but it blocks its ordering key while its call is in flight.
 void Policy::Impl::handle(const MessageWithdrawn& event) {
   const auto found = messages_.find(event.id);
   if (found == messages_.end()) return;
@@ -219,8 +215,6 @@
   if (!found->second.in_flight) finish(event.id);
 }
 
-// ---- Time ----
-
 void Policy::Impl::handle(const TimerFired& event) {
   if (static_cast<Time>(event.token) == timer_at_) timer_at_ = kNever;
 }
@@ -243,8 +237,6 @@
   return destinations_.latency_of(destinations_.get_or_add(endpoint.info.destination)).suspicion_age();
 }
 
-// ---- Policy ----
-
 Policy::Policy(Settings settings, uint64_t seed) : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
--- a/policy/policy_impl.h
+++ b/policy/policy_impl.h
@@ -1,10 +1,11 @@
-// The front of the policy: it passes events to the modules, takes their decisions and emits actions.
+// Implements Policy: passes events to the components of the policy, combines their decisions and emits
+// actions.
 //
-// The order of a step is that of the calls in Impl::step. It is split over these files:
-//   policy.cpp            the step; settings, list, messages and other events
-//   attempt_outcome.cpp   what is learnt from an attempt's end
+// The implementation is split over these files:
+//   policy.cpp            the steps, and all events other than the end of an attempt
+//   attempt_outcome.cpp   the end of an attempt
 //   final_answers.cpp     messages that cannot be delivered, or are shed
-//   dispatch.cpp          which messages are sent, and where
+//   dispatch.cpp          selection of the messages to send, and of their endpoints
 #pragma once
 
 #include <map>
@@ -32,7 +33,7 @@
 
 namespace turntally::policy {
 
-// The random pause before a retry, or after something that many relays see at once.
+// Bounds of the random pause before a retry, or after an event that many relays see at the same time.
 constexpr Time kMinRandomPause = 20 * kMillisecond;
 constexpr Time kMaxRandomPause = 250 * kMillisecond;
 
@@ -46,22 +47,22 @@
  private:
   struct StartedCall {
     uint64_t number = 0;
-    Time connection_idle = 0;  // how long its connection had been idle; 0: fresh or busy
+    Time connection_idle = 0;  // idle time of its connection before it was sent; 0: new or in use
   };
 
-  // What is sent to one destination in this step.
+  // State of sending to one destination within a step.
   struct DestinationTurn {
     int number = 0;
     const SendQueue& queue;
     Destination& destination;
     double latency_seconds = 0;
     SendOrder order;
-    std::optional<SendCandidate> last_within_share;  // the last one sent within the share of the slots
+    std::optional<SendCandidate> last_within_share;  // the last one sent within the destination's share
     bool is_over_share = false;
   };
   using DestinationTurns = std::vector<DestinationTurn>;
 
-  // The attempt that ended, and what it concerns.
+  // An attempt that ended, and the state that it affects.
   struct EndedCall {
     const AttemptEnded& event;
     const Attempt& attempt;
@@ -70,7 +71,7 @@
     Destination& destination;
   };
 
-  // Events.
+  // Handlers of the events.
   void handle(const EndpointListChanged& event);
   void handle(const MessageArrived& event);
   void handle(const AttemptEnded& event);
@@ -83,7 +84,7 @@
   void handle(const SettingsChanged& event);
   void handle(const EndpointSuspended& event);
 
-  // What the events lead to, in the order of a step.
+  // Decisions of a step, in the order in which it takes them.
   void open_list_watch();
   void detect_outages();
   void finish_undeliverable();
@@ -92,13 +93,13 @@
   void persist_destinations();
   void schedule_timer();
 
-  // Settings, list and messages.
+  // Settings, endpoints and messages; in policy.cpp.
   void apply_settings(Settings settings);
   void requeue_waiting_messages();
   void update_endpoint(const EndpointInfo& info);
   void resume_call(Message& message);
 
-  // The end of an attempt.
+  // The end of an attempt; in attempt_outcome.cpp.
   bool end_call(const EndedCall& ended);
   void block(Route& route, Time until);
   void learn_from(const EndedCall& ended);
@@ -108,13 +109,13 @@
   void continue_message(Message& message, const EndedCall& ended);
   void prepare_next_attempt(Message& message, const EndedCall& ended);
 
-  // Final answers.
+  // Final answers; in final_answers.cpp.
   void finish(uint64_t id, const std::optional<Action>& answer = {});
   std::vector<uint64_t> undeliverable();
   Time opens_at(int destination) const;
   Time client_retry_after(const Message& message);
 
-  // Dispatch.
+  // Selection of messages and endpoints; in dispatch.cpp.
   void update_send_queues();
   void update_next_in_order(uint64_t ordering_key);
   DestinationTurns destination_turns();
@@ -130,7 +131,7 @@
   void cancel_late_calls();
   void close_idle_connections(EndpointState& endpoint);
 
-  // Wakes the policy at that time, if it is later than now.
+  // Requests another step at that time, if it is in the future.
   void wake_at(Time at);
   StepContext context() { return {now_, started_at_, longest_lifetime_, settings_, random_}; }
   Time suspicion_age(const EndpointState& endpoint);
@@ -138,18 +139,18 @@
   Settings settings_;
   Random random_;
   Time now_ = std::numeric_limits<Time>::min();
-  Time started_at_ = kNever;  // when the first step was
+  Time started_at_ = kNever;  // time of the first step
   Time longest_lifetime_ = kSecond;
   Time shutdown_at_ = kNever;
-  Time wake_at_ = kNever;   // when this step wants the next one
-  Time timer_at_ = kNever;  // of the last timer that was set
+  Time wake_at_ = kNever;   // when the next step is needed, as far as this step knows
+  Time timer_at_ = kNever;  // time of the last timer that was set
   std::vector<Action>* actions_ = nullptr;
 
   EndpointDirectory directory_;
   Destinations destinations_;
   std::map<uint64_t, Message> messages_;
-  WaitingMessages waiting_;                   // of these, those that are not in flight
-  std::map<int, Time> blocked_destinations_;  // until when a retry-after blocks one of their routes at most
+  WaitingMessages waiting_;                   // the messages that are not in flight
+  std::map<int, Time> blocked_destinations_;  // latest end of a retry-after of the destination's routes
   std::map<AttemptKey, Attempt> attempts_;    // in flight
   CallsInFlight calls_;
 
--- a/policy/random.h
+++ b/policy/random.h
@@ -1,4 +1,5 @@
-// The only source of random numbers of a Policy: splitmix64, the same numbers on every platform.
+// Generates all random numbers of a Policy. It uses splitmix64, which gives the same numbers on every
+// platform.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
 
-  // A time from low to high, both included, in microseconds.
+  // Returns a random time from `low` to `high`, both included, in microseconds.
   Time between(Time low, Time high);
 
  private:
--- a/policy/rate_estimator.h
+++ b/policy/rate_estimator.h
@@ -1,4 +1,4 @@
-// Estimates the rate of an event, in events a second, with exponentially decaying memory.
+// Estimates the rate of an event, in events per second, with exponential decay.
 #pragma once
 
 #include "turntally/types.h"
--- a/policy/rate_limiter.cpp
+++ b/policy/rate_limiter.cpp
@@ -8,27 +8,28 @@
 namespace turntally::policy {
 namespace {
 
-// Calls a second. A rare caller, whose own rate says little, starts from it at its first rejection.
+// Lower bound, in calls per second, of the rate that a relay starts from at its first rejection. The own rate
+// of a relay that seldom calls says little.
 constexpr double kMinRateAtFirstRejection = 0.3;
 constexpr double kOwnRateAllowance = 1.5;
-constexpr double kFirstDecrease = 0.7;   // factor of the rate
-constexpr double kRepeatDecrease = 0.5;  // for each further rejection with nothing served between
+constexpr double kFirstDecrease = 0.7;   // factor applied to the rate
+constexpr double kRepeatDecrease = 0.5;  // factor for each further rejection without a served call in between
 constexpr double kIncreasePerServedCall = 0.03;
 
-// Parts of this relay's even share of the limit.
-constexpr double kInitialShare = 1.2;       // until an answer reports the limit: the list's figure is rough
-constexpr double kMaxShare = 1.4;           // with headroom: not all relays have something to send at once
-constexpr double kLateMessageShare = 0.85;  // when a message is late, others have late ones too
-constexpr double kLateMessageHeadroomShare = 0.3;  // and more by the share of the limit that remains
+// Send rates relative to this relay's even share of the limit.
+constexpr double kInitialShare = 1.2;  // until an answer reports the limit, as the listed one is an estimate
+constexpr double kMaxShare = 1.4;      // with headroom, as not all relays have messages at the same time
+constexpr double kLateMessageShare = 0.85;  // for late messages, as other relays then have late ones too
+constexpr double kLateMessageHeadroomShare = 0.3;  // added in proportion to the remaining share of the limit
 constexpr double kLowHeadroomShare = 0.85;
 
-constexpr double kLateMessagePart = 0.4;  // of the latency objective: then a message is late
+constexpr double kLateMessagePart = 0.4;  // part of the latency objective after which a message is late
 constexpr double kLowRemaining = 0.3;
 constexpr double kHighRemaining = 0.5;
-// Seconds in which the rate grows by e while there is headroom, below and above the own share.
+// Seconds in which the rate grows by a factor of e while there is headroom, below and above the own share.
 constexpr double kGrowthSecondsBelowShare = 2;
 constexpr double kGrowthSecondsAboveShare = 8;
-constexpr double kMaxGrowthSeconds = 3;  // that one report can stand for
+constexpr double kMaxGrowthSeconds = 3;  // longest span that one report accounts for
 constexpr double kBurstSeconds = 0.4;
 
 }  // namespace
@@ -49,7 +50,7 @@
   adjust_rate_to_headroom(report.limit_remaining, context);
 }
 
-// A limit that is nearly used up makes its route more expensive, so that independent routes are used evenly.
+// Little headroom makes a route more expensive, so that independent routes are used evenly.
 void RateLimiter::update_headroom(bool served, double limit_remaining) {
   headroom_ += 2 * kSampleWeight * ((served ? limit_remaining : 0) - headroom_);
 }
@@ -59,7 +60,7 @@
 }
 
 void RateLimiter::on_served(const StepContext& context) {
-  send_rate_ = std::max(send_rate_, rate_before_rejections_);
+  send_rate_ = std::max(send_rate_, rate_after_first_rejection_);
   if (rate_held_back_message_) send_rate_ += kIncreasePerServedCall * send_rate_;
   if (limit_ > 0) send_rate_ = std::min(send_rate_, std::min(limit_, kMaxShare * own_share(context)));
   rate_held_back_message_ = false;
@@ -75,13 +76,13 @@
   const bool is_first = send_rate_ == 0 || rejection.first_in_row;
   if (send_rate_ == 0) {
     const bool may_be_overloaded = rejection.blocked_until <= context.now && rejection.fleet_too_large;
-    const double least = may_be_overloaded ? 0 : kMinRateAtFirstRejection;
-    send_rate_ = std::max(kOwnRateAllowance * rejection.own_rate, least);
+    const double min_rate = may_be_overloaded ? 0 : kMinRateAtFirstRejection;
+    send_rate_ = std::max(kOwnRateAllowance * rejection.own_rate, min_rate);
   }
   if (is_first && limit_ > 0) send_rate_ = std::min(send_rate_, own_share(context));
   const double decreased = (is_first ? kFirstDecrease : kRepeatDecrease) * send_rate_;
   send_rate_ = std::max(decreased, 1 / seconds(context.longest_lifetime));
-  if (is_first) rate_before_rejections_ = send_rate_;
+  if (is_first) rate_after_first_rejection_ = send_rate_;
   decreased_at_ = context.now;
   restart_bucket(rejection.blocked_until, context);
 }
@@ -102,12 +103,12 @@
 
 Time RateLimiter::send_interval() const { return send_rate_ > 0 ? microseconds(1 / send_rate_) : 0; }
 
-// The send rate moves with the limit. One of many relays seldom calls: it would be rejected before it learnt
-// anything, so it starts from its share where answers report the limit.
+// Scales the send rate with the limit. Where answers report the limit, the rate starts from the own share:
+// one of many relays calls so seldom that it would be rejected before it had seen a report.
 void RateLimiter::set_limit(double limit, const StepContext& context) {
   const double change = limit_ > 0 ? limit / limit_ : 1;
   send_rate_ *= change;
-  rate_before_rejections_ *= change;
+  rate_after_first_rejection_ *= change;
   limit_ = limit;
   if (send_rate_ > 0 || context.settings.report_limit_index < 0) return;
   send_rate_ = kInitialShare * own_share(context);
@@ -115,8 +116,8 @@
   adjusted_at_ = context.now;
 }
 
-// What remains of the limit is news of all relays. The change goes by time, so that relays move alike however
-// often they call.
+// Adjusts the send rate to the remaining share of the limit, which reflects the calls of all relays. The
+// change depends on elapsed time, so that relays adjust alike however often they call.
 void RateLimiter::adjust_rate_to_headroom(double limit_remaining, const StepContext& context) {
   const double elapsed = std::min(kMaxGrowthSeconds, seconds(context.now - adjusted_at_));
   adjusted_at_ = context.now;
@@ -129,7 +130,8 @@
   send_rate_ = std::min(send_rate_, kMaxShare * share);
 }
 
-// Random, so that relays that were rejected together do not come back together.
+// Restarts the bucket with a random balance, so that relays that were rejected together do not resume
+// together.
 void RateLimiter::restart_bucket(Time blocked_until, const StepContext& context) {
   adjusted_at_ = context.now;
   const double tokens = 0.5 - seconds(context.random.between(0, kSecond));
--- a/policy/rate_limiter.h
+++ b/policy/rate_limiter.h
@@ -1,11 +1,11 @@
-// Decides how fast this relay sends to one route.
+// Limits the rate at which this relay sends to one route.
 //
-// Without a known limit the send rate is unbounded until the first rejection, and then falls below the own
-// demand. With a limit, reported or listed, this relay's even part of it guides the rate: the rate grows
-// while the reported headroom is large and falls when it is small. All rates are in calls a second; those
-// named `limit` are of all relays together, the others are this relay's own.
+// Without a known limit the send rate is unbounded until the first rejection, and then falls below this
+// relay's own demand. With a limit, reported or listed, the rate is based on this relay's even share of it:
+// the rate grows while the reported headroom is large and falls when it is small. All rates are in calls per
+// second; those named `limit` apply to all relays together, the others to this relay.
 //
-// Invariant: a send rate of 0 means that there is no bound.
+// Invariant: a send rate of 0 means that the rate is unbounded.
 #pragma once
 
 #include "policy/load_report.h"
@@ -15,7 +15,7 @@
 
 namespace turntally::policy {
 
-// A message is late for the limit once less than this is left of the span in which it has its full weight.
+// Returns the remaining time of full weight below which a message is late for the rate limit.
 Time time_left_when_late(Time latency_objective);
 
 class RateLimiter {
@@ -23,34 +23,34 @@
   struct Rejection {
     Time sent = 0;                 // when the rejected call was sent
     Time blocked_until = 0;        // the route's retry-after, 0 if none
-    double own_rate = 0;           // this relay's estimated served rate
-    bool first_in_row = false;     // calls before it were served
-    bool fleet_too_large = false;  // the fleet would overload the route by trying again
+    double own_rate = 0;           // estimated rate of this relay's served calls
+    bool first_in_row = false;     // no failure or rejection came before it since the last served call
+    bool fleet_too_large = false;  // the relays together might overload the route if each sent another call
   };
 
-  // A limit from the list of endpoints. It does not replace a reported one.
+  // Sets a limit from the list of endpoints. It does not replace a reported limit.
   void on_listed_limit(double limit, const StepContext& context);
   void on_load_report(const LoadReport& report, const StepContext& context);
-  // The answer, a success or a rejection, came with this share of the limit remaining.
+  // Records the remaining share of the limit that came with an answer, which was a success or a rejection.
   void update_headroom(bool served, double limit_remaining);
 
-  // Whether the report says that the limit is used up, which explains a rejection.
+  // Whether so little of the reported limit remains that it explains a rejection.
   static bool is_limit_exhausted(const LoadReport& report);
 
   void on_served(const StepContext& context);
-  // A rejection that the reported limit explains.
+  // Handles a rejection that the reported limit explains.
   void on_limit_exhausted(Time blocked_until, const StepContext& context);
-  // A rejection without such an explanation.
+  // Handles a rejection that the reported limit does not explain.
   void decrease_rate(const Rejection& rejection, const StepContext& context);
 
-  // When the message may be sent: now or later.
+  // Returns when the message may be sent: now or later.
   Time next_send_at(const Message& message, const StepContext& context);
   void on_call_started() { bucket_.take(1); }
   void on_health_check_sent() { bucket_.take(1); }
 
   double limit() const { return limit_; }
   double headroom() const { return headroom_; }
-  // The time between two sends at the present rate, in microseconds.
+  // Returns the time between two calls at the current send rate, in microseconds; 0 if it is unbounded.
   Time send_interval() const;
 
  private:
@@ -61,13 +61,13 @@
 
   double limit_ = 0;  // 0: unknown or none
   bool limit_is_reported_ = false;
-  double limit_remaining_ = 1;  // share at the last report
+  double limit_remaining_ = 1;  // remaining share of the limit in the last report
   double send_rate_ = 0;
-  double rate_before_rejections_ = 0;    // restored by a served call: one cut below the rate before the row
-  Time adjusted_at_ = 0;                 // when a report or a rejection last changed the rate
-  Time decreased_at_ = 0;                // rejections of calls sent earlier are no news
-  bool rate_held_back_message_ = false;  // since the last served call
-  double headroom_ = 1;                  // mean share of the limit that remains
+  double rate_after_first_rejection_ = 0;  // after the first of consecutive rejections; restored by success
+  Time adjusted_at_ = 0;                   // when a report or a rejection last changed the rate
+  Time decreased_at_ = 0;                  // rejections of calls sent earlier do not decrease the rate again
+  bool rate_held_back_message_ = false;    // the send rate delayed a message since the last served call
+  double headroom_ = 1;                    // mean remaining share of the limit
   TokenBucket bucket_;
 };
 
--- a/policy/retry_budget.cpp
+++ b/policy/retry_budget.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kPartsPerToken = 10;
-constexpr int kCapTokens = 10;  // for each message of a batch: enough for short failures
+constexpr int kCapTokens = 10;  // per message of a batch; enough for short failures
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   cap_ = kCapTokens * kPartsPerToken * max_batch_size;
 }
 
-// The list, and with it the cap, may come later.
+// The balance is not capped here, as the list of endpoints, and with it the cap, may arrive later.
 void RetryBudget::restore(int parts) { parts_ = std::max(0, parts); }
 
 int RetryBudget::persisted_parts() const { return parts_ - parts_ % kPartsPerToken; }
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -1,4 +1,4 @@
-// Bounds retries to a destination: each served call earns a tenth of a token, and each retry pays a whole
+// Bounds the retries to a destination. Each served call earns a tenth of a token and each retry costs a whole
 // one, so retries stay below a tenth of the traffic when failures are common.
 //
 // Invariant: earned tokens never raise the balance above the cap; a restored balance may be above it.
@@ -12,7 +12,7 @@
   void set_cap_for_batch(int max_batch_size);
   void fill() { parts_ = cap_; }
 
-  // Restores a balance from `persisted_parts()`.
+  // Restores a balance that persisted_token_tenths() returned.
   void restore(int parts);
   int persisted_parts() const;
 
--- a/policy/route.cpp
+++ b/policy/route.cpp
@@ -6,17 +6,17 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kMinAssumedRate = 1.2;  // calls a second of all relays together, where none was served
+constexpr double kMinAssumedRate = 1.2;  // calls per second of all relays together, without served calls
 constexpr double kMinObservedSeconds = 1;
 
 const char* log_text(OutageDetector::Change change) {
   switch (change) {
     case OutageDetector::Change::kWasOnlySlow:
-      return "only slow";
+      return "suspicion cleared, calls were only slow";
     case OutageDetector::Change::kRecovering:
-      return "back, cold";
+      return "recovering, slow start begins";
     case OutageDetector::Change::kFailsAgain:
-      return "fails again";
+      return "recovery failed";
     case OutageDetector::Change::kWarmedUp:
       return "warm";
     case OutageDetector::Change::kNone:
@@ -36,9 +36,10 @@
 void Route::on_failure(const FailedCall& call, const StepContext& context, std::vector<Action>& actions) {
   if (outage_detector_.is_outdated(call.sent)) return;
   log_change(outage_detector_.on_failure(call.sent, call.definite, context.now), actions);
-  // A retry-after longer than a limit's span says when a closed destination opens: its recovery begins then.
+  // A retry-after that is too long for a rate limit tells when an unavailable destination is back: its
+  // recovery begins at that time.
   if (outage().in_outage() || call.retry_after <= kMaxLimitSpan) return;
-  begin_outage({"told to wait long"}, context, actions);
+  begin_outage({"retry-after is too long for a rate limit"}, context, actions);
   outage_detector_.recover_from(blocked_until_);
   slow_start.refill_from(blocked_until_);
 }
@@ -72,7 +73,7 @@
 Time Route::next_send_at(const Message& message, const StepContext& context) {
   if (blocked_until_ > context.now) return blocked_until_;
   if (outage().in_outage()) {
-    // Without an answer to the last trial call another says little, and would fill the slots.
+    // Until the last trial call has ended, another one would tell little and fill the slots.
     if (outage().needs_trial() && trial_calls.has_call_in_flight()) return kNever;
     const Time at = slow_start.next_send_at(outage(), context);
     if (at > context.now) return at;
@@ -81,11 +82,11 @@
 }
 
 double Route::own_rate(const StepContext& context) const {
-  const double even_part = std::max(rate_limiter.limit(), kMinAssumedRate) / context.settings.relay_count;
+  const double even_share = std::max(rate_limiter.limit(), kMinAssumedRate) / context.settings.relay_count;
   const double observed = std::max(kMinObservedSeconds, seconds(context.now - context.started_at));
   const double span = kRateMemorySeconds * (1 - std::exp(-observed / kRateMemorySeconds));
   const double calls = served.per_second(context.now) * kRateMemorySeconds + 1;
-  return std::max(even_part, calls / (span + 1 / even_part));
+  return std::max(even_share, calls / (span + 1 / even_share));
 }
 
 void Route::restore(const DestinationState& state, Time now) {
@@ -94,7 +95,7 @@
   slow_start.restore(now);
 }
 
-// An outage that is only suspected is not persisted.
+// Suspected outages are not persisted.
 void Route::persist_to(DestinationState& state, Time now) const {
   if (outage().in_outage() && !outage_detector_.is_suspicion_only()) {
     state.outage_since = outage().outage_since;
@@ -109,9 +110,9 @@
   outage_detector_.begin_outage(own_rate(context), evidence.suspicion_only, context.now);
   slow_start.restart(context);
   trial_calls.forget_health_check();
-  const auto per_minute = std::lround(60 * outage().rate_before_outage);
-  log(std::string("outage, ") + evidence.description + "; served before: " + std::to_string(per_minute) +
-          " a minute",
+  const auto calls_per_minute = std::lround(60 * outage().rate_before_outage);
+  log(std::string("outage, ") + evidence.description + "; rate before: " + std::to_string(calls_per_minute) +
+          " calls per minute",
       actions);
 }
 
--- a/policy/route.h
+++ b/policy/route.h
@@ -1,5 +1,6 @@
-// What rate limits, retry-after times and outages are tied to: all endpoints of a destination, or one
-// endpoint where the endpoints of a kind are independent. It brings the decisions on one route together.
+// A route is the unit that rate limits, retry-after times and outages apply to: all endpoints of a
+// destination, or a single endpoint of a kind whose endpoints are independent. Route combines the decisions
+// on one of them.
 #pragma once
 
 #include <string>
@@ -30,11 +31,11 @@
  public:
   struct FailedCall {
     Time sent = 0;
-    bool definite = false;  // a failure rather than a rejection
+    bool definite = false;  // true for a failure, false for a rejection
     Time retry_after = 0;   // microseconds; 0: none
   };
 
-  // A rejected call's retry-after, until when nothing is sent. It only grows.
+  // Blocks the route until the end of a rejected call's retry-after. `at` must not be before the present end.
   void block_until(Time at) { blocked_until_ = at; }
   Time blocked_until() const { return blocked_until_; }
 
@@ -42,20 +43,21 @@
   void on_failure(const FailedCall& call, const StepContext& context, std::vector<Action>& actions);
   void decrease_rate(Time sent, const StepContext& context);
 
-  // Begins an outage where the evidence suffices, and ends one whose slow start is over. Returns whether the
-  // route has to be looked at in the next step too.
+  // Begins an outage if there is enough evidence, and ends one whose slow start is over. Returns whether the
+  // route must be checked in the next step too.
   bool detect_outage(int overdue_calls, bool no_endpoint_ready, const StepContext& context,
                      std::vector<Action>& actions);
 
-  // When the message may be sent over this route; kNever: only after some outcome.
+  // Returns when the message may be sent over this route; kNever: not before a trial call in flight has
+  // ended.
   Time next_send_at(const Message& message, const StepContext& context);
 
-  // This relay's own served rate, in calls a second. For a rare caller it is mostly the even part of the
-  // limit, which counts as one call.
+  // Returns the rate of this relay's served calls, in calls per second. The relay's even share of the limit
+  // counts as one call, so it dominates for a relay that seldom calls.
   double own_rate(const StepContext& context) const;
 
   void restore(const DestinationState& state, Time now);
-  // Sets the fields of `state` that belong to the route.
+  // Writes the route's fields of `state`.
   void persist_to(DestinationState& state, Time now) const;
 
   const OutageState& outage() const { return outage_detector_.state(); }
--- a/policy/send_queue.cpp
+++ b/policy/send_queue.cpp
@@ -22,8 +22,6 @@
           zone_matters ? message.arrival.possibly_run_zone : kAnyZone};
 }
 
-// ---- The queue ----
-
 void SendQueue::add(const Message& message) {
   const bool is_new = groups_[send_group(message)].emplace(message.full_weight_until, message.id()).second;
   if (is_new) ++size_;
@@ -39,8 +37,6 @@
   std::erase_if(groups_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-// ---- The order ----
-
 SendOrder::SendOrder(const SendQueue& queue, Time now, double latency_seconds, bool late_weight_halves)
     : queue_(queue),
       now_(now),
@@ -58,17 +54,17 @@
   return best;
 }
 
-// The earliest of those with the most weight.
+// Returns the message with the highest weight; among equal weights, the one whose full weight ends first.
 SendCandidate SendOrder::first_of(const SendGroup& group, const SendQueue::Messages& messages) const {
   auto found = messages.lower_bound({delivery_at_, 0});
-  if (found == messages.end()) --found;  // all are late
-  const double most = value(group.weight, found->first);
-  const bool is_tied = found != messages.begin() && value(group.weight, std::prev(found)->first) == most;
+  if (found == messages.end()) --found;  // no message has its full weight at delivery
+  const double best_key = value(group.weight, found->first);
+  const bool is_tied = found != messages.begin() && value(group.weight, std::prev(found)->first) == best_key;
   if (is_tied) {
     const Time begin = first_with_value_of(group.weight, messages.begin()->first, found->first);
     found = messages.lower_bound({begin, 0});
   }
-  return {most, found->first, found->second};
+  return {best_key, found->first, found->second};
 }
 
 void SendOrder::add_segments() {
@@ -78,13 +74,15 @@
   }
 }
 
-// Cut where the weight begins to fall and where a message begins to be late for the limit.
+// Splits a group into segments where the weight starts to fall, and where messages are late for the rate
+// limit.
 void SendOrder::add_segments(const SendGroup& group, const SendQueue::Messages& messages) {
-  const Time least = messages.begin()->first;
-  const Time most = messages.rbegin()->first;
+  const Time earliest = messages.begin()->first;
+  const Time latest = messages.rbegin()->first;
   const Time limit_cut = now_ + time_left_when_late(group.weight.latency_objective);
-  std::array<Time, 4> cuts = {least, std::clamp(std::min(delivery_at_, limit_cut), least, most + 1),
-                              std::clamp(std::max(delivery_at_, limit_cut), least, most + 1), most + 1};
+  std::array<Time, 4> cuts = {earliest, std::clamp(std::min(delivery_at_, limit_cut), earliest, latest + 1),
+                              std::clamp(std::max(delivery_at_, limit_cut), earliest, latest + 1),
+                              latest + 1};
   for (size_t i = 0; i + 1 < cuts.size(); ++i) {
     if (cuts[i] == cuts[i + 1]) continue;
     Segment segment;
@@ -129,7 +127,7 @@
   return {};
 }
 
-// The messages of the next smaller weight; false: all have been taken.
+// Moves to the messages of the next lower weight. Returns false if the segment has no more messages.
 bool SendOrder::move_to_next_tie(Segment& segment) const {
   if (segment.has_full_weight || segment.tie_begin <= segment.begin) return false;
   auto last = segment.messages->lower_bound({segment.tie_begin, 0});
@@ -143,16 +141,18 @@
   return true;
 }
 
-// The earliest end of the full weight, from `least` on, with the same value as `full_weight_until` has.
-Time SendOrder::first_with_value_of(const WeightTerms& terms, Time least, Time full_weight_until) const {
-  const double wanted = value(terms, full_weight_until);
+// Returns the earliest end of the full weight, not before `earliest`, that has the same sort key as
+// `full_weight_until`.
+Time SendOrder::first_with_value_of(const WeightTerms& parameters, Time earliest,
+                                    Time full_weight_until) const {
+  const double target_key = value(parameters, full_weight_until);
   Time equal = full_weight_until;
-  while (least < equal) {
-    const Time middle = least + (equal - least) / 2;
-    if (value(terms, middle) == wanted) {
+  while (earliest < equal) {
+    const Time middle = earliest + (equal - earliest) / 2;
+    if (value(parameters, middle) == target_key) {
       equal = middle;
     } else {
-      least = middle + 1;
+      earliest = middle + 1;
     }
   }
   return equal;
@@ -164,25 +164,25 @@
   });
 }
 
-// The last one is among those of the least weight.
+// Returns the last message in the order of sending, which is one of those with the lowest weight.
 SendCandidate SendOrder::last_of(const SendGroup& group, const SendQueue::Messages& messages) const {
-  const double least = value(group.weight, messages.begin()->first);
+  const double last_key = value(group.weight, messages.begin()->first);
   Time equal = messages.begin()->first;
   Time above = messages.rbegin()->first + 1;
   while (equal + 1 < above) {
     const Time middle = equal + (above - equal) / 2;
-    if (value(group.weight, middle) == least) {
+    if (value(group.weight, middle) == last_key) {
       equal = middle;
     } else {
       above = middle;
     }
   }
   const auto last = std::prev(messages.upper_bound({equal, kLastId}));
-  return {least, last->first, last->second};
+  return {last_key, last->first, last->second};
 }
 
-double SendOrder::value(const WeightTerms& terms, Time full_weight_until) const {
-  const double weight = weight_at(terms, full_weight_until, delivery_at_, late_weight_halves_);
+double SendOrder::value(const WeightTerms& parameters, Time full_weight_until) const {
+  const double weight = weight_at(parameters, full_weight_until, delivery_at_, late_weight_halves_);
   return negated_weight_per_slot_second(weight, latency_seconds_);
 }
 
--- a/policy/send_queue.h
+++ b/policy/send_queue.h
@@ -1,8 +1,9 @@
-// The messages of one destination that may be sent now, and the order in which they are taken.
+// Holds the messages of one destination that may be sent now, and determines the order in which they are
+// sent.
 //
-// Messages that differ in their age only form a group: every decision but their order is the same for them.
-// Within a group the weight never falls with a later end of the full weight, so that an order by that end
-// gives the order of sending, also while the weights change with time.
+// Messages that differ only in their age form a group: every decision except their order is the same for
+// them. Within a group, a message whose full weight ends later never has a lower weight, so sorting by that
+// end gives the order of sending even while weights change with time.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +23,11 @@
 
 constexpr int kAnyZone = -2;  // endpoints of no zone have -1
 
-// What messages of one group have in common.
+// The properties that the messages of a group share.
 struct SendGroup {
   WeightTerms weight;
   bool is_retry = false;
-  // Only endpoints of this zone would recognize a repeat of the message.
+  // If it is not kAnyZone, only endpoints of this zone would recognize a repeat of the message.
   int required_zone = kAnyZone;
   friend bool operator<(const SendGroup& a, const SendGroup& b) {
     return std::tie(a.weight, a.is_retry, a.required_zone) < std::tie(b.weight, b.is_retry, b.required_zone);
@@ -37,57 +38,58 @@
 
 class SendQueue {
  public:
-  // By the end of their full weight, then by id.
+  // Ordered by the end of the full weight, then by id.
   using Messages = std::set<std::pair<Time, uint64_t>>;
 
   void add(const Message& message);
-  // Removes the message where it is there; its fields are those that it was added with.
+  // Removes the message if it is in the queue. Its fields must be the same as when it was added.
   void remove(const Message& message);
   bool empty() const { return size_ == 0; }
   const std::map<SendGroup, Messages>& groups() const { return groups_; }
-  // Forgets groups without messages. Not while a SendOrder of the queue is in use.
+  // Removes groups without messages. Must not be called while a SendOrder of the queue is in use.
   void prune();
 
-  Destination* destination = nullptr;  // null until it is listed
+  Destination* destination = nullptr;  // null until the destination is listed
 
  private:
   std::map<SendGroup, Messages> groups_;
   size_t size_ = 0;
 };
 
-// The order of a queue's messages at one moment. Messages may be removed from the queue meanwhile, but none
-// added.
+// Iterates over a queue's messages in the order of sending at one time. Messages may be removed from the
+// queue during the iteration, but none added.
 class SendOrder {
  public:
-  // Messages of one group that the limit of a route treats alike.
+  // The messages of one group that the rate limit of a route treats alike.
   struct Class {
     const SendGroup& group;
-    bool is_late_for_limit = false;  // as RateLimiter decides it
+    bool is_late_for_limit = false;  // see time_left_when_late()
   };
 
   SendOrder(const SendQueue& queue, Time now, double latency_seconds, bool late_weight_halves);
 
-  // As next(), but without class_of_next() and pass() afterwards: costs less as long as next() was not
-  // called.
+  // Like next(), but may not be followed by subgroup_of_next() or advance(). Cheaper than next() as long as
+  // next() has not been called.
   std::optional<SendCandidate> peek() { return has_segments_ ? next() : first(); }
 
-  // The next message that has not been passed or dropped; nothing: there is none.
+  // Returns the next message that has not been passed or dropped, or nothing if there is none.
   std::optional<SendCandidate> next();
   Class class_of_next() const { return segments_[next_segment_].its_class(); }
-  // Moves behind the next message.
+  // Moves past the message that next() returned.
   void pass();
-  // Leaves out all that is left of the classes for which `is_dropped` is true.
+  // Drops the remaining messages of all subgroups for which `is_dropped` returns true.
   template <class Predicate>
   void drop_if(Predicate is_dropped) {
     add_segments();
     std::erase_if(segments_, [&](const Segment& segment) { return is_dropped(segment.its_class()); });
   }
-  // Whether any message, passed or dropped ones included, comes behind `candidate`.
+  // Whether any message in the queue, even a passed or dropped one, follows `candidate` in the order.
   bool has_any_after(const SendCandidate& candidate) const;
 
  private:
-  // Messages whose full weight ends from `begin` on and before `end`. While all have their full weight they
-  // come in ascending order; else the later ones come first, but those of equal weight in ascending order.
+  // The messages of a group whose full weight ends in [begin, end). Messages that have their full weight are
+  // taken in ascending order. Of the others, later ones are taken first, except that messages of equal weight
+  // (a tie) are taken in ascending order.
   struct Segment {
     const SendGroup* group = nullptr;
     const SendQueue::Messages* messages = nullptr;
@@ -95,9 +97,9 @@
     Time begin = 0;
     Time end = 0;
     bool has_full_weight = false;
-    Time tie_begin = 0;                  // the messages of equal weight that are taken now: from here
-    Time tie_end = 0;                    // up to here
-    double tie_value = 0;                // of their SendCandidate::negated_weight_per_slot_second
+    Time tie_begin = 0;  // the present tie: full weight ends in [tie_begin, tie_end)
+    Time tie_end = 0;
+    double tie_value = 0;                // negated_weight_per_slot_second of its messages
     std::pair<Time, uint64_t> position;  // the first message that may be next
 
     Class its_class() const { return {*group, is_late_for_limit}; }
@@ -109,9 +111,9 @@
   SendCandidate first_of(const SendGroup& group, const SendQueue::Messages& messages) const;
   std::optional<SendCandidate> next_of(Segment& segment) const;
   bool move_to_next_tie(Segment& segment) const;
-  Time first_with_value_of(const WeightTerms& terms, Time least, Time full_weight_until) const;
+  Time first_with_value_of(const WeightTerms& parameters, Time earliest, Time full_weight_until) const;
   SendCandidate last_of(const SendGroup& group, const SendQueue::Messages& messages) const;
-  double value(const WeightTerms& terms, Time full_weight_until) const;
+  double value(const WeightTerms& parameters, Time full_weight_until) const;
 
   const SendQueue& queue_;
   Time now_;
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -1,4 +1,4 @@
-// Reads settings from their text form.
+// Parses settings from path=value lines.
 #include "turntally/settings.h"
 
 #include <charconv>
@@ -12,7 +12,7 @@
 namespace turntally::policy {
 namespace {
 
-constexpr int kMaxEntries = 100000;  // a list longer than this is a mistake in the text
+constexpr int kMaxEntries = 100000;  // a longer list is taken for a mistake in the text
 
 class KeyValueText {
  public:
@@ -39,26 +39,26 @@
 
   double number(const std::string& key, std::optional<double> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
-    return parse(key, text(key));
+    return parse_number(key, text(key));
   }
 
   int integer(const std::string& key, int min, std::optional<int> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value != std::floor(value) || value < min || value > 1e9) unreadable(key);
+    if (value != std::floor(value) || value < min || value > 1e9) throw_unreadable(key);
     return static_cast<int>(value);
   }
 
-  double within(const std::string& key, double min, double max, double fallback) const {
+  double number_between(const std::string& key, double min, double max, double fallback) const {
     const double value = number(key, fallback);
-    if (value < min || value > max) unreadable(key);
+    if (value < min || value > max) throw_unreadable(key);
     return value;
   }
 
   Time time(const std::string& key, std::optional<Time> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value < 0 || value > 1e9) unreadable(key);
+    if (value < 0 || value > 1e9) throw_unreadable(key);
     return std::llround(value * 1e6);
   }
 
@@ -80,54 +80,56 @@
 
   std::vector<double> numbers(const std::string& key) const {
     std::vector<double> values;
-    for (const std::string& part : list(key)) values.push_back(parse(key, part));
+    for (const std::string& part : list(key)) values.push_back(parse_number(key, part));
     return values;
   }
 
   static bool parse_flag(const std::string& key, const std::string& value) {
-    if (value != "true" && value != "false") unreadable(key);
+    if (value != "true" && value != "false") throw_unreadable(key);
     return value == "true";
   }
 
-  [[noreturn]] static void unreadable(const std::string& key) {
+  [[noreturn]] static void throw_unreadable(const std::string& key) {
     throw std::invalid_argument("setting " + key + " is unreadable");
   }
 
  private:
-  static double parse(const std::string& key, const std::string& value) {
+  static double parse_number(const std::string& key, const std::string& value) {
     double number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) unreadable(key);
+    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number))
+      throw_unreadable(key);
     return number;
   }
 
   std::map<std::string, std::string> values_;
 };
 
-ClassSettings parse_class(const KeyValueText& values, const std::string& at) {
+ClassSettings parse_class(const KeyValueText& values, const std::string& prefix) {
   ClassSettings settings;
-  settings.name = values.text(at + "name", "");
-  const std::string semantics = values.text(at + "semantics");
+  settings.name = values.text(prefix + "name", "");
+  const std::string semantics = values.text(prefix + "semantics");
   if (semantics == "safe") {
     settings.idempotency = Idempotency::kIdempotent;
   } else if (semantics == "keyed") {
     settings.idempotency = Idempotency::kIdempotentWithKey;
-    const std::string scope = values.text(at + "key_scope");
-    if (scope != "all" && scope != "zone" && scope != "cell") KeyValueText::unreadable(at + "key_scope");
+    const std::string scope = values.text(prefix + "key_scope");
+    if (scope != "all" && scope != "zone" && scope != "cell")
+      KeyValueText::throw_unreadable(prefix + "key_scope");
     settings.deduplication_scope = scope == "all"    ? DeduplicationScope::kAll
                                    : scope == "zone" ? DeduplicationScope::kZone
                                                      : DeduplicationScope::kGroup;
-    settings.deduplication_window = values.time(at + "key_ttl_s");
+    settings.deduplication_window = values.time(prefix + "key_ttl_s");
   } else if (semantics != "unsafe") {
-    KeyValueText::unreadable(at + "semantics");
-  }
-  settings.in_order = values.flag(at + "in_order", false);
-  settings.latency_objective = values.time(at + "target_s");
-  settings.max_lifetime = values.time(at + "give_up_s");
-  if (settings.latency_objective == 0) KeyValueText::unreadable(at + "target_s");
-  if (settings.max_lifetime == 0) KeyValueText::unreadable(at + "give_up_s");
-  settings.priority_weight = values.number(at + "worth", 1.0);
-  settings.late_weight_share = values.number(at + "late_worth", 0.0);
+    KeyValueText::throw_unreadable(prefix + "semantics");
+  }
+  settings.in_order = values.flag(prefix + "in_order", false);
+  settings.latency_objective = values.time(prefix + "target_s");
+  settings.max_lifetime = values.time(prefix + "give_up_s");
+  if (settings.latency_objective == 0) KeyValueText::throw_unreadable(prefix + "target_s");
+  if (settings.max_lifetime == 0) KeyValueText::throw_unreadable(prefix + "give_up_s");
+  settings.priority_weight = values.number(prefix + "worth", 1.0);
+  settings.late_weight_share = values.number(prefix + "late_worth", 0.0);
   return settings;
 }
 
@@ -141,7 +143,8 @@
     if (index < independent.size())
       kind.independent_endpoints = KeyValueText::parse_flag("family_info.kind_apart", independent[index]);
     if (index < batch.size()) {
-      if (batch[index] < 1 || batch[index] > kMaxEntries) KeyValueText::unreadable("family_info.kind_batch");
+      if (batch[index] < 1 || batch[index] > kMaxEntries)
+        KeyValueText::throw_unreadable("family_info.kind_batch");
       kind.max_batch_size = static_cast<int>(batch[index]);
     }
     settings.kinds.push_back(kind);
@@ -150,10 +153,11 @@
 
 void parse_tenants(const KeyValueText& values, Settings& settings) {
   const int count = values.integer("realms.count", 0, 0);
-  if (count > kMaxEntries) KeyValueText::unreadable("realms.count");
+  if (count > kMaxEntries) KeyValueText::throw_unreadable("realms.count");
   for (int i = 0; i < count; ++i) {
-    const std::string at = "realms." + std::to_string(i) + ".";
-    settings.tenants.push_back({values.text(at + "name", ""), values.number(at + "quota_per_s", 0.0)});
+    const std::string prefix = "realms." + std::to_string(i) + ".";
+    settings.tenants.push_back(
+        {values.text(prefix + "name", ""), values.number(prefix + "quota_per_s", 0.0)});
   }
 }
 
@@ -182,7 +186,7 @@
   const KeyValueText values(text);
   Settings settings;
   const int classes = values.integer("categories.count", 1);
-  if (classes > kMaxEntries) KeyValueText::unreadable("categories.count");
+  if (classes > kMaxEntries) KeyValueText::throw_unreadable("categories.count");
   for (int i = 0; i < classes; ++i) {
     settings.classes.push_back(parse_class(values, "categories." + std::to_string(i) + "."));
   }
@@ -207,7 +211,7 @@
   settings.weights = weights == "nominal" ? Weights::kNominal
                      : weights == "rough" ? Weights::kRough
                                           : Weights::kNone;
-  settings.over_quota_weight_share = values.within("over_share_worth", 0, 1, 1.0);
+  settings.over_quota_weight_share = values.number_between("over_share_worth", 0, 1, 1.0);
   settings.tick = values.time("resolution_s", 0);
   settings.connection_idle_timeout = values.time("bounds.conn_idle_s", 0);
   settings.connect_timeout = values.time("bounds.connect_timeout_s", 0);
@@ -218,8 +222,8 @@
   settings.ordering_pause = values.time("obligations.order_pause_s", 0);
   settings.slow_start_duration = values.time("obligations.cold_s", 0);
   settings.overload_window = values.time("obligations.fall_s", 0);
-  settings.overload_factor = values.within("obligations.fall_multiple", 0, 1e6, 1.0);
-  settings.initial_capacity_share = values.within("obligations.start_capacity", 0, 1, 1.0);
+  settings.overload_factor = values.number_between("obligations.fall_multiple", 0, 1e6, 1.0);
+  settings.initial_capacity_share = values.number_between("obligations.start_capacity", 0, 1, 1.0);
   return settings;
 }
 
--- a/policy/slow_start.cpp
+++ b/policy/slow_start.cpp
@@ -8,9 +8,9 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kMinAwareSeconds = 5;  // relays are counted as aware of an outage at least this old
+constexpr double kMinAwareSeconds = 5;  // lower bound of the outage's duration in share_of_relays_aware()
 constexpr double kMinAwareShare = 1e-3;
-constexpr Time kMaxWait = kSecond;  // rates grow meanwhile: look again by then
+constexpr Time kMaxWait = kSecond;  // rates grow while waiting, so they are checked again after this time
 
 }  // namespace
 
@@ -38,7 +38,8 @@
   return at > context.now ? std::min(at, context.now + kMaxWait) : at;
 }
 
-// The first calls of relays that are not aware of the outage use a part of the budget.
+// The first calls of relays that are not aware of the outage use part of the budget; the aware relays share
+// the rest.
 double SlowStart::slow_start_rate(const OutageState& outage, const StepContext& context) {
   const double aware = share_of_relays_aware(outage, context.now);
   const double budget =
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -1,9 +1,9 @@
-// Decides how fast a route, or an endpoint that an operator suspended and resumed, is sent to while it warms
-// up.
+// Limits the rate of calls to a route that recovers from an outage, or to an endpoint that an operator has
+// resumed.
 //
-// What comes back has a share of its capacity at first, and all of it after the slow start. All relays
-// together must stay below what it takes at each moment, so each sends its own part. Rates are this relay's
-// own, in calls a second.
+// A recovered destination has only a share of its capacity at first, and all of it when the slow start ends.
+// All relays together must stay below what it can take at each moment, so each relay uses its own part of
+// that. Rates are this relay's own, in calls per second.
 #pragma once
 
 #include "policy/outage_detector.h"
@@ -12,15 +12,16 @@
 
 namespace turntally::policy {
 
-constexpr double kOverloadMargin = 0.7;  // used part of a budget: counts and clocks differ between relays
+constexpr double kOverloadMargin = 0.7;  // used part of a budget, as counts and clocks differ between relays
 
-// The share of its capacity that has returned, from the initial share to 1.
+// Returns the share of the capacity that is available again, from the initial share to 1.
 double ramp_fraction(Time returned_at, const StepContext& context);
 
-// The share of the relays that received a message for the route in the outage, and so are aware of it.
+// Returns the estimated share of relays that had a message for the route during the outage, and so are aware
+// of it.
 double share_of_relays_aware(const OutageState& outage, Time now);
 
-// Slow start of a route after an outage; before that, its trial calls.
+// Paces the calls to a route in an outage: the trial calls, and after the recovery the slow start.
 class SlowStart {
  public:
   void restart(const StepContext& context);
@@ -37,10 +38,10 @@
   TokenBucket bucket_;
 };
 
-// Slow start of an endpoint after a suspension.
+// Paces the calls to an endpoint that was resumed after a suspension.
 class EndpointSlowStart {
  public:
-  // `rate` is this relay's own rate to the endpoint before the suspension.
+  // `rate` is this relay's own rate of calls to the endpoint before the suspension.
   void on_suspended(double rate) { rate_before_suspension_ = rate; }
   void on_resumed(const StepContext& context);
 
@@ -51,7 +52,7 @@
   double slow_start_rate(const StepContext& context) const;
 
  private:
-  Time resumed_at_ = 0;  // 0: warmed up
+  Time resumed_at_ = 0;  // 0: no slow start is active
   double rate_before_suspension_ = 0;
   TokenBucket bucket_;
 };
--- a/policy/step_context.h
+++ b/policy/step_context.h
@@ -1,4 +1,4 @@
-// What every decision of one step may use: the clock, the settings and the random numbers.
+// Inputs that are common to all decisions of a step: the clock, the settings and the random numbers.
 #pragma once
 
 #include "policy/random.h"
@@ -9,8 +9,8 @@
 
 struct StepContext {
   Time now = 0;
-  Time started_at = 0;        // when the first step was
-  Time longest_lifetime = 0;  // of all classes
+  Time started_at = 0;        // time of the first step
+  Time longest_lifetime = 0;  // maximum of ClassSettings::max_lifetime, at least a second
   const Settings& settings;
   Random& random;
 };
--- a/policy/tenant_quota.cpp
+++ b/policy/tenant_quota.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kBurstSeconds = 2;
-// Arrivals vary by chance, which counts most where the even part is small.
+// Random variation of arrivals matters most where the relay's part of the quota is small.
 constexpr double kBurstStandardDeviations = 3;
 
 }  // namespace
--- a/policy/tenant_quota.h
+++ b/policy/tenant_quota.h
@@ -1,7 +1,7 @@
-// Decides what share of its weight a message keeps, given its tenant's quota.
+// Decides which share of its weight a message keeps, given its tenant's quota.
 //
-// A tenant's quota is a rate of all relays together; each relay takes an even part of it as its own. A
-// message within the quota has its full weight, one beyond it a small share.
+// A tenant's quota is a rate for all relays together; each relay uses an even part of it. A message within
+// the quota keeps its full weight, one over the quota keeps Settings::over_quota_weight_share of it.
 #pragma once
 
 #include <map>
@@ -13,7 +13,8 @@
 
 class TenantQuota {
  public:
-  // The share, from 0 to 1, for a message that arrives now. Takes a token of the tenant's bucket.
+  // Returns the share, from 0 to 1, for a message that arrives now. Takes a token from the tenant's bucket if
+  // there is one.
   double weight_share(int tenant, Time now, const Settings& settings);
 
   void forget_all() { buckets_.clear(); }
--- a/policy/time.h
+++ b/policy/time.h
@@ -1,4 +1,4 @@
-// Units of time, and the conversion between the clock's microseconds and seconds.
+// Units of time, and conversions between microseconds and seconds.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 inline double seconds(Time microseconds) { return static_cast<double>(microseconds) / 1e6; }
 
-// Rounded up; spans above 1e9 seconds are cut to that.
+// Converts seconds to microseconds, rounded up. Values above 1e9 seconds are clamped to that.
 inline Time microseconds(double seconds) {
   return static_cast<Time>(std::ceil(std::min(seconds, 1e9) * 1e6));
 }
--- a/policy/token_bucket.cpp
+++ b/policy/token_bucket.cpp
@@ -7,7 +7,7 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kLeastRatePerSecond = 1e-6;
+constexpr double kMinRatePerSecond = 1e-6;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     refilled_at_ = now;
   }
   if (tokens_ >= 1) return now;
-  const Time wait = microseconds((1 - tokens_) / std::max(rate, kLeastRatePerSecond));
+  const Time wait = microseconds((1 - tokens_) / std::max(rate, kMinRatePerSecond));
   return std::max(now, refilled_at_) + std::max<Time>(1, wait);
 }
 
--- a/policy/token_bucket.h
+++ b/policy/token_bucket.h
@@ -1,6 +1,6 @@
-// A token bucket: tokens refill with time up to a burst, and each send takes its work, mostly one.
+// A token bucket. Tokens refill with time up to a burst; each send takes as many as its work, usually one.
 //
-// Rates are in tokens a second. The balance may be negative: then the next whole token comes later.
+// Rates are in tokens per second. The balance may be negative, which delays the next whole token.
 #pragma once
 
 #include "turntally/types.h"
@@ -13,7 +13,7 @@
   // `refilled_at` may lie in the future: no token is added before it.
   TokenBucket(double tokens, Time refilled_at) : tokens_(tokens), refilled_at_(refilled_at) {}
 
-  // Refills the bucket up to `now` and returns when it holds a whole token: `now` or later.
+  // Refills the bucket up to `now` and returns when it will hold a whole token: `now` or later.
   Time next_token_at(Time now, double rate, double burst);
 
   void take(double tokens) { tokens_ -= tokens; }
--- a/policy/trial_calls.cpp
+++ b/policy/trial_calls.cpp
@@ -9,7 +9,7 @@
 namespace turntally::policy {
 namespace {
 
-constexpr double kTrialShare = 0.5;               // of the rate before the outage
+constexpr double kTrialShare = 0.5;               // relative to the rate before the outage
 constexpr double kMinFleetTrialsPerSecond = 1.5;  // of all relays together
 constexpr double kMinOverloadWindowSeconds = 1;
 
@@ -22,7 +22,8 @@
   return settings.relay_count > budget + 2 * std::sqrt(budget) + 2;
 }
 
-// What a large fleet finds up is still in slow start: its trial calls are a part of the first budget.
+// A destination that a large fleet finds recovered is still at the start of its slow start, so the fleet's
+// trial calls must fit into the initial budget.
 double trial_rate(const OutageState& outage, const StepContext& context) {
   const Settings& settings = context.settings;
   double share = kTrialShare;
@@ -31,8 +32,8 @@
     share = kOverloadMargin * settings.overload_factor * settings.initial_capacity_share;
     min_fleet_rate = 1 / std::max(kMinOverloadWindowSeconds, seconds(settings.overload_window));
   }
-  const double own = std::max(share * outage.rate_before_outage, min_fleet_rate / settings.relay_count);
-  return own / share_of_relays_aware(outage, context.now);
+  const double own_rate = std::max(share * outage.rate_before_outage, min_fleet_rate / settings.relay_count);
+  return own_rate / share_of_relays_aware(outage, context.now);
 }
 
 TrialCalls::Decision TrialCalls::may_send_trial(const OutageState& outage, bool health_checks_allowed) {
--- a/policy/trial_calls.h
+++ b/policy/trial_calls.h
@@ -1,8 +1,8 @@
-// Decides which calls look for the end of a route's outage: the trial calls of a half-open circuit.
+// Decides when trial calls test whether a route's outage is over, like those of a half-open circuit breaker.
 //
-// All relays together send few of them, one at a time each. Where health checks are allowed, one precedes
-// each trial call: it costs no retry token, and no message is lost where the route hangs. A health check
-// alone is not trusted, as it may pass where calls hang.
+// All relays together send few trial calls, and each relay sends one at a time. Where health checks are
+// allowed, one precedes each trial call: it costs no retry token, and no message is lost if the route hangs.
+// A health check alone does not end an outage, as it may pass while calls hang.
 #pragma once
 
 #include "policy/outage_detector.h"
@@ -10,18 +10,19 @@
 
 namespace turntally::policy {
 
-// Whether one call of each relay, chance included, is more than the route takes when it recovers. Then not
-// every relay may try for itself. `own_rate` is this relay's, in calls a second.
+// Whether one call from each relay, random variation included, would exceed what the route can take when it
+// recovers. If so, the relays may not each try on their own. `own_rate` is this relay's, in calls per second.
 bool fleet_exceeds_trial_budget(double own_rate, const Settings& settings);
 
-// This relay's part of the fleet's trial calls, in calls a second. The relays aware of the outage share them.
+// Returns this relay's part of the fleet's trial calls, in calls per second. Only relays that are aware of
+// the outage share them.
 double trial_rate(const OutageState& outage, const StepContext& context);
 
 class TrialCalls {
  public:
   enum class Decision { kSend, kSendHealthCheck, kWait };
 
-  // Whether a call may be sent to the route now; one that may uses up a passed health check.
+  // Decides whether a call may be sent to the route now. kSend uses up a passed health check.
   Decision may_send_trial(const OutageState& outage, bool health_checks_allowed);
 
   void on_trial_sent() { ++in_flight_; }
--- a/policy/waiting_messages.cpp
+++ b/policy/waiting_messages.cpp
@@ -15,7 +15,7 @@
   return by_time.empty() ? kNever : by_time.begin()->first;
 }
 
-// The ids of all entries up to a time, in the order of ids.
+// Returns the ids of all entries up to `at`, in ascending order.
 std::vector<uint64_t> ids_until(const std::set<std::pair<Time, uint64_t>>& by_time, Time at) {
   std::vector<uint64_t> ids;
   for (auto entry = by_time.begin(); entry != by_time.end() && entry->first <= at; ++entry)
@@ -85,10 +85,10 @@
 
 void WaitingMessages::set_next_in_order(uint64_t ordering_key, const Message* message) {
   const auto found = next_in_order_.find(ordering_key);
-  const Message* before = found == next_in_order_.end() ? nullptr : found->second;
-  if (before == message) return;
-  if (before != nullptr) {
-    send_queues_[before->arrival.destination].remove(*before);
+  const Message* previous = found == next_in_order_.end() ? nullptr : found->second;
+  if (previous == message) return;
+  if (previous != nullptr) {
+    send_queues_[previous->arrival.destination].remove(*previous);
     next_in_order_.erase(found);
   }
   if (message == nullptr) return;
--- a/policy/waiting_messages.h
+++ b/policy/waiting_messages.h
@@ -1,7 +1,7 @@
-// The messages that are not in flight, ordered for what each step asks of them: which have run out of time,
-// which pauses are over, which may be sent to a destination.
+// Indexes the messages that are not in flight by what each step needs: which have expired, whose pause is
+// over, and which may be sent to a destination.
 //
-// Invariant: a message is here from add() to remove(), and its fields stay the same meanwhile.
+// A message must not change between add() and remove(), which find it by its fields.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +18,24 @@
 
 class WaitingMessages {
  public:
-  // `tick` in microseconds. An ordered message may be sent only once set_next_in_order() names it.
+  // `tick` is in microseconds. An ordered message may be sent only after set_next_in_order() has named it.
   void add(const Message& message, Time now, Time tick);
   void remove(const Message& message);
   void clear();
 
-  // No attempt is allowed any more, or none can start in time; by id.
+  // Returns the ids of messages that allow no further attempt, or that no attempt can start for in time.
   std::vector<uint64_t> expired(Time now) const;
-  // Those to a destination whose last start is not after `at`; by id.
+  // Returns the ids of a destination's messages whose last start is not after `at`.
   std::vector<uint64_t> last_start_until(int destination, Time at) const;
-  // kNever: none waits.
+  // Returns the earliest last start of all messages; kNever if there are none.
   Time next_last_start() const;
 
-  // The pauses before a next attempt that end by `now`; the messages may be sent from now on, but for ordered
-  // ones, whose keys are returned.
+  // Ends the pauses that are over at `now`. The messages may be sent from now on, except for ordered ones,
+  // whose keys are returned.
   std::vector<uint64_t> end_pauses(Time now, const std::map<uint64_t, Message>& messages);
   Time next_pause_end() const;
 
-  // The message of an ordering key that may be sent; null: none.
+  // Sets the message of an ordering key that may be sent; null: none.
   void set_next_in_order(uint64_t ordering_key, const Message* message);
 
   std::map<int, SendQueue>& send_queues() { return send_queues_; }
