--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -1,4 +1,4 @@
-// Hosts one Policy for each simulated relay and speaks the simulator's wire on standard input and output.
+// Runs one Policy for each simulated relay, and talks to the simulator on standard input and output.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -11,17 +11,17 @@
 namespace turntally::sim {
 namespace {
 
-constexpr size_t kChunk = 1 << 20;  // read in pieces, so that a false length allocates nothing by itself
+constexpr size_t kChunkBytes = 1 << 20;  // input is read in chunks, so that a false length allocates little
 
-bool read_exactly(std::string& out, size_t count) {
-  out.clear();
-  while (out.size() < count) {
-    const size_t old = out.size();
-    const size_t want = std::min(kChunk, count - old);
-    out.resize(old + want);
-    const size_t got = std::fread(out.data() + old, 1, want, stdin);
-    if (got < want) {
-      out.resize(old + got);
+bool read_exactly(std::string& bytes, size_t count) {
+  bytes.clear();
+  while (bytes.size() < count) {
+    const size_t old_size = bytes.size();
+    const size_t requested = std::min(kChunkBytes, count - old_size);
+    bytes.resize(old_size + requested);
+    const size_t received = std::fread(bytes.data() + old_size, 1, requested, stdin);
+    if (received < requested) {
+      bytes.resize(old_size + received);
       return false;
     }
   }
@@ -32,14 +32,14 @@
  public:
   std::string handle(Time now, std::vector<InstanceEvent> events) {
     Encoder reply;
-    std::map<int, std::vector<policy::Event>> pending;  // in the order of the instances' numbers
+    std::map<int, std::vector<policy::Event>> pending;  // by instance
     for (InstanceEvent& item : events) {
       if (std::holds_alternative<Kill>(item.event)) {
         policies_.erase(item.instance);
         pending.erase(item.instance);
       } else if (const auto* start = std::get_if<PowerOn>(&item.event)) {
         pending.erase(item.instance);
-        guarded(item.instance, reply, [&] {
+        run_reporting_exceptions(item.instance, reply, [&] {
           policies_.erase(item.instance);
           policies_.emplace(item.instance, policy::Policy(policy::parse_settings(start->facts), start->seed));
         });
@@ -54,7 +54,7 @@
       const auto policy = policies_.find(instance);
       if (policy == policies_.end()) continue;
       std::vector<policy::Action> actions;
-      guarded(instance, reply, [&] { policy->second.step(now, instance_events, actions); });
+      run_reporting_exceptions(instance, reply, [&] { policy->second.step(now, instance_events, actions); });
       reply.actions(instance, actions);
     }
     return reply.frame();
@@ -62,7 +62,7 @@
 
  private:
   template <typename F>
-  static void guarded(int instance, Encoder& reply, F&& run) {
+  static void run_reporting_exceptions(int instance, Encoder& reply, F&& run) {
     try {
       run();
     } catch (const std::exception& error) {
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -12,8 +12,8 @@
 constexpr size_t kMaxTextBytes = 0xffff;
 constexpr uint16_t kAllPeers = 0xffff;
 
-// The wire's own names stand here, and nowhere behind this file: codes of records, then fields as messages of
-// errors name them.
+// Names of the wire protocol, which are used in this file only: codes of records, and fields as error
+// messages name them.
 enum class EventCode : uint8_t {
   kPowerOn = 1,
   kView = 2,
@@ -44,7 +44,7 @@
   kSoundOut = 13
 };
 
-enum ViewForm : uint8_t { kDelta = 0, kCached = 2, kFailed = 3, kFull = 4 };
+enum ListForm : uint8_t { kDelta = 0, kCached = 2, kFailed = 3, kFull = 4 };
 enum Readiness : uint8_t { kGone = 0, kReady = 1, kDraining = 2 };
 
 namespace field {
@@ -86,36 +86,36 @@
 
 constexpr size_t kStreamedPartBytes = 23;
 
-// Reads big-endian fields and knows where it stands.
+// Reads big-endian fields, and reports the position of malformed ones.
 class Reader {
  public:
   Reader(std::string_view bytes, size_t origin) : bytes_(bytes), origin_(origin) {}
 
-  size_t left() const { return bytes_.size() - at_; }
-  size_t position() const { return origin_ + at_; }
+  size_t remaining() const { return bytes_.size() - offset_; }
+  size_t position() const { return origin_ + offset_; }
 
-  std::string_view raw(size_t count, const char* what) {
-    if (count > left()) fail(std::string(what) + " is cut short");
-    at_ += count;
-    return bytes_.substr(at_ - count, count);
+  std::string_view raw(size_t count, const char* field_name) {
+    if (count > remaining()) fail(std::string(field_name) + " is cut short");
+    offset_ += count;
+    return bytes_.substr(offset_ - count, count);
   }
 
   template <typename T>
-  T number(const char* what) {
+  T number(const char* field_name) {
     uint64_t value = 0;
-    for (const char byte : raw(sizeof(T), what)) value = (value << 8) | static_cast<uint8_t>(byte);
+    for (const char byte : raw(sizeof(T), field_name)) value = (value << 8) | static_cast<uint8_t>(byte);
     return static_cast<T>(value);
   }
 
-  uint8_t u8(const char* what) { return number<uint8_t>(what); }
-  uint16_t u16(const char* what) { return number<uint16_t>(what); }
-  uint32_t u32(const char* what) { return number<uint32_t>(what); }
-  uint64_t u64(const char* what) { return number<uint64_t>(what); }
-  float f32(const char* what) { return std::bit_cast<float>(u32(what)); }
+  uint8_t u8(const char* field_name) { return number<uint8_t>(field_name); }
+  uint16_t u16(const char* field_name) { return number<uint16_t>(field_name); }
+  uint32_t u32(const char* field_name) { return number<uint32_t>(field_name); }
+  uint64_t u64(const char* field_name) { return number<uint64_t>(field_name); }
+  float f32(const char* field_name) { return std::bit_cast<float>(u32(field_name)); }
 
-  Time time(const char* what) {
-    const auto seconds = std::bit_cast<double>(u64(what));
-    if (!(std::abs(seconds) < 1e12)) fail(std::string(what) + " is out of range");
+  Time time(const char* field_name) {
+    const auto seconds = std::bit_cast<double>(u64(field_name));
+    if (!(std::abs(seconds) < 1e12)) fail(std::string(field_name) + " is out of range");
     return std::llround(seconds * 1e6);
   }
 
@@ -128,20 +128,20 @@
 
   std::vector<float> report() {
     const size_t count = u8(field::kLoadReport);
-    if (count * sizeof(float) > left()) fail(std::string(field::kLoadReport) + " is cut short");
+    if (count * sizeof(float) > remaining()) fail(std::string(field::kLoadReport) + " is cut short");
     std::vector<float> out(count);
     for (float& value : out) value = f32(field::kLoadReport);
     return out;
   }
 
-  [[noreturn]] void fail(const std::string& what) const {
-    throw WireError(what + " at byte " + std::to_string(position()));
+  [[noreturn]] void fail(const std::string& problem) const {
+    throw WireError(problem + " at byte " + std::to_string(position()));
   }
 
  private:
   std::string_view bytes_;
   size_t origin_;
-  size_t at_ = 0;
+  size_t offset_ = 0;
 };
 
 policy::EndpointInfo read_endpoint(Reader& in) {
@@ -194,8 +194,8 @@
   out.latency = in.time(field::kLatency);
   out.outcome = to_outcome(in);
   out.final = in.u8(field::kFinal) != 0;
-  const uint32_t note = in.u32(field::kRetryAfter);
-  if (out.outcome == policy::Outcome::kRejected) out.retry_after = Time{note} * 1000;
+  const uint32_t retry_after_ms = in.u32(field::kRetryAfter);
+  if (out.outcome == policy::Outcome::kRejected) out.retry_after = Time{retry_after_ms} * 1000;
   out.attempt = in.u8(field::kAttempt);
   out.load_report = in.report();
   return out;
@@ -232,7 +232,7 @@
   const uint32_t number = in.u32(field::kList);
   const uint32_t count = in.u32(field::kListEntries);
   if (number >= kMaxLists) in.fail("list number is out of range");
-  if (count > in.left() / kListEntryBytes) in.fail(std::string(field::kListEntries) + " is cut short");
+  if (count > in.remaining() / kListEntryBytes) in.fail(std::string(field::kListEntries) + " is cut short");
   auto list = std::make_shared<std::vector<policy::EndpointInfo>>();
   list->reserve(count);
   for (uint32_t i = 0; i < count; ++i) list->push_back(read_endpoint(in));
@@ -257,7 +257,7 @@
   return event;
 }
 
-// `start`: where the record begins.
+// `start` is the byte position of the record.
 std::variant<policy::Event, PowerOn, Kill> read_event(EventCode code, Reader& in, const Lists& lists,
                                                       size_t start) {
   switch (code) {
@@ -385,7 +385,7 @@
       instance = in.u16(field::kInstance);
     } else if (code == EventCode::kDefineList) {
       define_list(in, lists_);
-    } else if (code == EventCode::kFirst) {  // of a streamed answer: outside this service type
+    } else if (code == EventCode::kFirst) {  // streamed answers are not used
       in.raw(kStreamedPartBytes, field::kStreamedPart);
     } else {
       auto event = read_event(code, in, lists_, start);
@@ -393,7 +393,7 @@
       out.push_back({instance, std::move(event)});
     }
   }
-  if (in.left() > 0) in.fail("bytes left over");
+  if (in.remaining() > 0) in.fail("bytes left over");
   return out;
 }
 
@@ -404,14 +404,14 @@
 }
 
 void Encoder::actions(int instance, std::span<const policy::Action> actions) {
-  const auto kept = [](const policy::Action& action) {
+  const auto is_persistence = [](const policy::Action& action) {
     return std::holds_alternative<policy::PersistDestinationState>(action);
   };
-  if (std::all_of(actions.begin(), actions.end(), kept)) return;
+  if (std::all_of(actions.begin(), actions.end(), is_persistence)) return;
   speaking(instance);
   for (const policy::Action& action : actions) {
     if (std::holds_alternative<policy::PersistDestinationState>(action))
-      continue;  // nothing outlasts a simulated relay
+      continue;  // a simulated relay has no persistent state
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -1,4 +1,4 @@
-// The simulator's wire: frames to events, actions to frames. Nothing is decided here.
+// The simulator's wire protocol: decodes frames to events and encodes actions to frames.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +18,20 @@
 using policy::Endpoint;
 using policy::Time;
 
-// A frame that cannot be read; the text says what and at which byte.
+// Thrown for a malformed frame. The text names the malformed part and its byte position.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-struct PowerOn {  // a simulated relay starts
+// A simulated relay starts.
+struct PowerOn {
   uint64_t seed = 0;
-  std::string facts;  // its settings, path=value lines
+  std::string facts;  // path=value lines
 };
 
-struct Kill {};  // it ends at once
+// A simulated relay ends at once.
+struct Kill {};
 
 struct InstanceEvent {
   int instance = 0;  // number of the simulated relay
@@ -44,26 +46,27 @@
 
 constexpr size_t kHeaderBytes = 16;
 
-// Of kHeaderBytes bytes; throws WireError.
+// Decodes kHeaderBytes bytes. Throws WireError.
 Header decode_header(std::string_view bytes);
 
-// Decodes the records of batches, in order. Lists of endpoints outlive a batch, so one decoder serves one
-// input.
+// Decodes the records of frames, in order. Lists of endpoints stay defined for later frames, so each input
+// needs a decoder of its own.
 class Decoder {
  public:
-  // `body`: the header's `length` bytes. Throws WireError; nothing of the batch counts then.
+  // Decodes `body`, the `length` bytes after the header. Throws WireError, in which case none of the frame's
+  // events may be used.
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
 
  private:
   std::map<uint32_t, std::shared_ptr<const std::vector<policy::EndpointInfo>>> lists_;
 };
 
-// Builds one reply: the actions of each instance in the order given, then the whole frame.
+// Builds the reply to one frame from the actions of each instance, in the order in which they are added.
 class Encoder {
  public:
-  // What outlasts no simulated relay (PersistDestinationState) is left out.
+  // Leaves out PersistDestinationState, as a simulated relay has no persistent state.
   void actions(int instance, std::span<const policy::Action> actions);
-  // A crash of that instance's policy, with its words.
+  // Reports that the instance's policy threw an exception with this text.
   void panic(int instance, std::string_view text);
   std::string frame() const;
 
