--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -1,4 +1,4 @@
-// A relay in small: one message arrives, is sent, and is delivered.
+// A minimal user of the installed library: one message arrives and is sent.
 #include <cstdio>
 #include <memory>
 #include <variant>
@@ -33,7 +33,7 @@
   for (const turntally::policy::Action& action : actions) {
     if (const auto* send = std::get_if<turntally::policy::SendAttempt>(&action)) {
       std::printf("send message %llu\n", static_cast<unsigned long long>(send->id));
-      return 0;  // a relay makes the call here, and passes its AttemptEnded to a later step
+      return 0;  // a relay would make the call here, and pass its AttemptEnded to a later step
     }
   }
   return 1;
--- a/tests/policy/early_rejection_test.cpp
+++ b/tests/policy/early_rejection_test.cpp
@@ -1,4 +1,5 @@
-// What may still be delivered is not given back early: not for want of an answer, not after a restart.
+// Tests that messages which may still be delivered are not ended early, neither while calls fail nor after a
+// restart.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -8,76 +9,84 @@
 namespace turntally::policy::testing {
 namespace {
 
-struct Kept {
-  Time due = 0;
+struct TrackedMessage {
+  Time deadline = 0;
   int sent = 0;
-  int attempts = 0;  // of these, those that began
+  int attempts = 0;  // attempts whose call was started
 };
 
-// A relay whose destinations turn all calls away, one with waits, one by refused connections, and one that is
-// drained; to a fourth no call is begun (the disk is full). There is room for all messages, so that none has
-// to go for another's sake.
-class Barren {
+// A relay with four destinations that deliver nothing: the first rejects calls, some with a retry-after; at
+// the second connections fail; the third is draining; for the fourth the relay starts no call, as with a full
+// disk. All messages fit within max_pending_messages, so none is shed.
+class UndeliverableMessages {
  public:
-  explicit Barren(uint64_t seed) : random_(seed), relay_(settings_, seed) {}
+  explicit UndeliverableMessages(uint64_t seed) : random_(seed), relay_(settings_, seed) {}
 
   int run() {
-    events_ = {members({member(1, 1), member(2, 2), member(3, 3, 1, Listing::kDraining), member(4, 4)})};
+    events_ = {endpoint_list({endpoint_info(1, 1), endpoint_info(2, 2),
+                              endpoint_info(3, 3, 1, Listing::kDraining), endpoint_info(4, 4)})};
     for (Time now = 0; now < 60 * kSecond; now += 10'000) {
       if (now < 30 * kSecond && random_() % 50 == 0) add(now);
       const auto actions = relay_.step(now, std::exchange(events_, {}));
-      for (const SendAttempt& send : all_of<SendAttempt>(actions)) answer(send);
-      for (const Reject& refuse : all_of<Reject>(actions)) end(refuse.id, now);
-      for (const Fail& fail : all_of<Fail>(actions)) end(fail.id, now);
+      for (const SendAttempt& send : actions_of<SendAttempt>(actions)) answer(send);
+      for (const Reject& reject : actions_of<Reject>(actions)) end(reject.id, now);
+      for (const Fail& fail : actions_of<Fail>(actions)) end(fail.id, now);
     }
     EXPECT_EQ(relay_.unanswered(), 0u);
-    return given_back_;
+    return ended_count_;
   }
 
  private:
   void add(Time now) {
-    MessageArrived in =
-        relay_.message(++last_, now, static_cast<int>(random_() % 2), 1 + static_cast<int>(random_() % 4));
-    if (random_() % 3 == 0) in.deadline -= life(in) / 2;  // as a restart finds it, untried
-    kept_[in.id] = {in.deadline};
-    events_.push_back(in);
+    MessageArrived arrival =
+        relay_.message(++last_id_, now, static_cast<int>(random_() % 2), 1 + static_cast<int>(random_() % 4));
+    if (random_() % 3 == 0)
+      arrival.deadline -= max_lifetime(arrival) / 2;  // like a message without attempts after a restart
+    messages_[arrival.id] = {arrival.deadline};
+    events_.push_back(arrival);
   }
 
-  // Waits end long before the messages do.
+  // A retry-after is much shorter than the lifetime of the messages.
   void answer(const SendAttempt& send) {
-    const bool busy = send.endpoint.address == 1;
-    const Time wait = busy && random_() % 2 == 0 ? static_cast<Time>(random_() % 2000) * 1000 : 0;
-    Kept& kept = kept_.at(send.id);
+    const bool rejects_calls = send.endpoint.address == 1;
+    const Time retry_after =
+        rejects_calls && random_() % 2 == 0 ? static_cast<Time>(random_() % 2000) * 1000 : 0;
+    TrackedMessage& message = messages_.at(send.id);
     AttemptEnded end =
-        ended(send, kept.sent++, busy ? Outcome::kRejected : Outcome::kConnectFailed, 5'000, wait);
+        attempt_ended(send, message.sent++, rejects_calls ? Outcome::kRejected : Outcome::kConnectFailed,
+                      5'000, retry_after);
     if (send.endpoint.address == 4) end.outcome = Outcome::kNotStarted;
-    // Of connections that fail some break when the call has begun.
-    end.call_started = busy || (end.outcome == Outcome::kConnectFailed && random_() % 4 == 0);
-    kept.attempts += end.call_started ? 1 : 0;
+    // Some of the failing connections break after the call has started.
+    end.call_started = rejects_calls || (end.outcome == Outcome::kConnectFailed && random_() % 4 == 0);
+    message.attempts += end.call_started ? 1 : 0;
     events_.push_back(end);
   }
 
   void end(uint64_t id, Time now) {
-    ++given_back_;
-    const Kept& kept = kept_.at(id);
-    if (kept.attempts == settings_.max_attempts) return;  // no try is left
-    EXPECT_GE(now, kept.due - settings_.classes[0].max_lifetime * 3 / 10) << id;
+    ++ended_count_;
+    const TrackedMessage& message = messages_.at(id);
+    if (message.attempts == settings_.max_attempts) return;  // no attempt is left
+    EXPECT_GE(now, message.deadline - settings_.classes[0].max_lifetime * 3 / 10) << id;
   }
 
-  Time life(const MessageArrived& in) const { return settings_.classes[in.message_class].max_lifetime; }
+  Time max_lifetime(const MessageArrived& arrival) const {
+    return settings_.classes[arrival.message_class].max_lifetime;
+  }
 
   std::mt19937_64 random_;
-  Settings settings_ = plain_settings();
+  Settings settings_ = default_settings();
   CheckedPolicy relay_;
   std::vector<Event> events_;
-  std::map<uint64_t, Kept> kept_;
-  uint64_t last_ = 0;
-  int given_back_ = 0;
+  std::map<uint64_t, TrackedMessage> messages_;
+  uint64_t last_id_ = 0;
+  int ended_count_ = 0;
 };
 
 class EarlyRejection : public ::testing::TestWithParam<uint64_t> {};
 
-TEST_P(EarlyRejection, RejectsNothingThatMayStillBeDelivered) { EXPECT_GT(Barren(GetParam()).run(), 30); }
+TEST_P(EarlyRejection, RejectsNothingThatMayStillBeDelivered) {
+  EXPECT_GT(UndeliverableMessages(GetParam()).run(), 30);
+}
 
 INSTANTIATE_TEST_SUITE_P(Seeds, EarlyRejection, ::testing::Range<uint64_t>(1, 11));
 
--- a/tests/policy/policy_benchmark.cpp
+++ b/tests/policy/policy_benchmark.cpp
@@ -1,4 +1,4 @@
-// What a turn of the policy costs while N messages wait. It prints a table and bounds nothing.
+// Measures the cost of a step of the policy while N messages wait. It prints a table and checks no bounds.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -14,8 +14,8 @@
 using namespace turntally::policy;
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kTurn = 100;  // between two turns, in microseconds
-constexpr int kTurns = 300;
+constexpr Time kStepInterval = 100;  // time between two steps, in microseconds
+constexpr int kSteps = 300;
 constexpr int kRepetitions = 5;
 constexpr int kMaxMessages = 10'000;
 
@@ -42,7 +42,7 @@
   return settings;
 }
 
-// A policy with N waiting messages to endpoints that have one destination each.
+// A policy with N waiting messages, and destinations with one endpoint each.
 class Bench {
  public:
   Bench(int destinations, int max_concurrent_calls)
@@ -77,7 +77,7 @@
   MessageWithdrawn oldest() { return {++last_withdrawn_}; }
 
   void step(const std::vector<Event>& events) {
-    now_ += kTurn;
+    now_ += kStepInterval;
     std::vector<Action> actions;
     const auto begin = std::chrono::steady_clock::now();
     policy_.step(now_, events, actions);
@@ -87,8 +87,8 @@
     }
   }
 
-  // Ends calls that are in flight: those to the destinations that are chosen are rejected with a retry-after,
-  // the others served.
+  // Ends up to `count` calls in flight: calls to destinations for which `is_rejected` returns true are
+  // rejected with a retry-after, the others are served.
   std::vector<Event> ends(size_t count, const std::function<bool(int)>& is_rejected) {
     std::vector<Event> events;
     for (; count > 0 && !calls_.empty(); --count) {
@@ -109,10 +109,10 @@
   }
   size_t calls() const { return calls_.size(); }
 
-  double microseconds_a_turn(const std::function<std::vector<Event>()>& events) {
+  double microseconds_per_step(const std::function<std::vector<Event>()>& events) {
     spent_ = {};
-    for (int i = 0; i < kTurns; ++i) step(events());
-    return std::chrono::duration<double, std::micro>(spent_).count() / kTurns;
+    for (int i = 0; i < kSteps; ++i) step(events());
+    return std::chrono::duration<double, std::micro>(spent_).count() / kSteps;
   }
 
  private:
@@ -131,44 +131,44 @@
 double all_slots_taken(int messages) {
   Bench bench(20, 10);
   bench.add(messages);
-  return bench.microseconds_a_turn([&] { return std::vector<Event>{bench.arrival(), bench.oldest()}; });
+  return bench.microseconds_per_step([&] { return std::vector<Event>{bench.arrival(), bench.oldest()}; });
 }
 
-double all_routes_told_to_wait(int messages) {
+double all_routes_blocked(int messages) {
   Bench bench(20, 100);
   bench.add(100);
   while (bench.calls() > 0) bench.step(bench.ends(100, [](int) { return true; }));
   bench.add(messages);
-  return bench.microseconds_a_turn([&] { return std::vector<Event>{bench.arrival(), bench.oldest()}; });
+  return bench.microseconds_per_step([&] { return std::vector<Event>{bench.arrival(), bench.oldest()}; });
 }
 
-double a_tenth_told_to_wait(int messages) {
+double a_tenth_blocked(int messages) {
   Bench bench(200, 40);
-  const auto is_told = [](int destination) { return destination % 10 == 0; };
+  const auto is_blocked = [](int destination) { return destination % 10 == 0; };
   bench.add(messages);
-  return bench.microseconds_a_turn([&] {
-    std::vector<Event> events = bench.ends(1, is_told);
+  return bench.microseconds_per_step([&] {
+    std::vector<Event> events = bench.ends(1, is_blocked);
     events.push_back(bench.arrival());
     return events;
   });
 }
 
-double best_of(double (*play)(int), int messages) {
-  double best = play(messages);
-  for (int i = 1; i < kRepetitions; ++i) best = std::min(best, play(messages));
+double best_of(double (*benchmark)(int), int messages) {
+  double best = benchmark(messages);
+  for (int i = 1; i < kRepetitions; ++i) best = std::min(best, benchmark(messages));
   return best;
 }
 
 }  // namespace
 
 int main() {
-  std::printf("%-28s %10s %10s %10s\n", "microseconds a turn", "N = 100", "N = 1000", "N = 10000");
-  const auto row = [](const char* name, double (*play)(int)) {
-    std::printf("%-28s %10.1f %10.1f %10.1f\n", name, best_of(play, 100), best_of(play, 1000),
-                best_of(play, kMaxMessages));
+  std::printf("%-28s %10s %10s %10s\n", "microseconds per step", "N = 100", "N = 1000", "N = 10000");
+  const auto row = [](const char* name, double (*benchmark)(int)) {
+    std::printf("%-28s %10.1f %10.1f %10.1f\n", name, best_of(benchmark, 100), best_of(benchmark, 1000),
+                best_of(benchmark, kMaxMessages));
   };
   row("all slots taken", all_slots_taken);
-  row("all routes told to wait", all_routes_told_to_wait);
-  row("a tenth of 200 told to wait", a_tenth_told_to_wait);
+  row("all routes blocked", all_routes_blocked);
+  row("a tenth of 200 blocked", a_tenth_blocked);
   return 0;
 }
--- a/tests/policy/rules_checker.h
+++ b/tests/policy/rules_checker.h
@@ -1,5 +1,5 @@
-// Watches what goes into and comes out of a Policy, and reports each violation. Knows nothing of the
-// module.
+// Checks the events and actions of a Policy against the rules that a relay must follow, and records
+// violations. It does not depend on the implementation of the policy.
 #pragma once
 
 #include <map>
@@ -13,18 +13,18 @@
 
 class RulesChecker {
  public:
-  explicit RulesChecker(Settings settings) : set_(std::move(settings)) {}
+  explicit RulesChecker(Settings settings) : settings_(std::move(settings)) {}
 
-  // Call with the events before, and with the actions after each step.
-  void before(Time now, std::span<const Event> events);
-  void after(Time now, std::span<const Action> actions);
+  // To be called with the events before each step, and with its actions afterwards.
+  void before_step(Time now, std::span<const Event> events);
+  void after_step(Time now, std::span<const Action> actions);
 
-  // Messages without a final answer.
+  // Returns the number of messages without a final answer.
   size_t unanswered() const;
-  const std::vector<std::string>& faults() const { return faults_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     Endpoint endpoint;
     Time at = 0;
     uint64_t call = 0;
@@ -33,30 +33,30 @@
   };
   struct TrackedMessage {
     MessageArrived arrival;
-    std::vector<Sent> sent;
-    int unbegun = 0;  // attempts of which no byte was written
+    std::vector<SentAttempt> sent;
+    int not_started = 0;  // attempts for which no byte was written
     bool ended = false;
     uint64_t order = 0;
   };
 
-  void fault(uint64_t id, const std::string& what);
+  void add_violation(uint64_t id, const std::string& violation);
   void check_send(Time now, const SendAttempt& send);
-  uint64_t join_call(const EndpointInfo& member);
+  uint64_t join_call(const EndpointInfo& info);
   void check_order(Time now, uint64_t id, const TrackedMessage& message);
   void check_reject(uint64_t id);
-  std::pair<int, Endpoint> limit_group(const EndpointInfo& member) const;
+  std::pair<int, Endpoint> route_of(const EndpointInfo& info) const;
 
-  Settings set_;
+  Settings settings_;
   std::map<uint64_t, TrackedMessage> messages_;
-  std::map<Endpoint, EndpointInfo> members_;
+  std::map<Endpoint, EndpointInfo> endpoints_;
   std::map<Endpoint, Time> drained_at_;
   std::map<std::pair<int, Endpoint>, Time> blocked_until_;
   std::map<uint64_t, std::pair<Time, uint64_t>> ordering_holds_;
   uint64_t arrivals_ = 0;
-  std::map<uint64_t, int> calls_;       // calls in flight, with their messages
-  std::map<Endpoint, uint64_t> round_;  // this round's open call to each endpoint
+  std::map<uint64_t, int> calls_;            // calls in flight, with their number of messages
+  std::map<Endpoint, uint64_t> step_calls_;  // the call to each endpoint that messages of this step may join
   uint64_t last_call_ = 0;
-  std::vector<std::string> faults_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace turntally::policy::testing
--- a/tests/policy/send_queue_test.cpp
+++ b/tests/policy/send_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order of sending, by queues, against a plain sort of all messages.
+// Compares the order of SendOrder with a plain sort of all messages.
 #include "policy/send_queue.h"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 namespace turntally::policy::testing {
 namespace {
 
-class Drawn {
+class RandomMessages {
  public:
-  explicit Drawn(uint64_t seed) : random_(seed) {}
+  explicit RandomMessages(uint64_t seed) : random_(seed) {}
   uint64_t below(uint64_t bound) { return random_() % bound; }
 
   Message message(uint64_t id) {
@@ -26,7 +26,8 @@
     terms.max_lifetime = terms.latency_objective + static_cast<Time>(below(4)) * 2 * kSecond;
     terms.late_weight_share = kLateShares[below(std::size(kLateShares))];
     message.arrival.id = id;
-    message.arrival.deadline = static_cast<Time>(below(20 * kSecond) / kCoarse * kCoarse);
+    message.arrival.deadline =
+        static_cast<Time>(below(20 * kSecond) / kDeadlineResolution * kDeadlineResolution);
     message.arrival.may_have_run = below(2) == 0;
     message.arrival.possibly_run_zone = static_cast<int>(below(3)) - 1;
     message.is_retry = below(2) == 0;
@@ -36,15 +37,16 @@
   }
 
  private:
-  static constexpr uint64_t kCoarse = 10 * kMillisecond;  // so that some messages have the same age
+  static constexpr uint64_t kDeadlineResolution =
+      10 * kMillisecond;  // coarse, so that some messages have the same age
 
   std::mt19937_64 random_;
 };
 
-struct Scan {
+struct SortedCandidates {
   std::vector<SendCandidate> candidates;
 
-  Scan(const std::map<uint64_t, Message>& messages, Time now, double latency, bool halves) {
+  SortedCandidates(const std::map<uint64_t, Message>& messages, Time now, double latency, bool halves) {
     for (const auto& [id, message] : messages) {
       const double weight = weight_at(message, now + microseconds(latency), halves);
       candidates.push_back({negated_weight_per_slot_second(weight, latency), message.full_weight_until, id});
@@ -53,20 +55,20 @@
   }
 };
 
-class SendOrders : public ::testing::TestWithParam<uint64_t> {};
+class SendOrderTest : public ::testing::TestWithParam<uint64_t> {};
 
-// Some of the messages that come later are taken out meanwhile, as those of a batch are.
-TEST_P(SendOrders, EqualAPlainSort) {
-  Drawn drawn(GetParam());
+// Some later messages are removed during the iteration, as the messages of a batch are.
+TEST_P(SendOrderTest, MatchesPlainSort) {
+  RandomMessages random(GetParam());
   std::map<uint64_t, Message> messages;
   SendQueue queue;
-  for (uint64_t id = 1; id <= 120; ++id) queue.add(messages[id] = drawn.message(id));
-  const Time now = static_cast<Time>(drawn.below(20 * kSecond));
-  const double latency = static_cast<double>(drawn.below(2000)) / 1000;
-  const bool halves = drawn.below(2) == 0;
-  const Scan scan(messages, now, latency, halves);
+  for (uint64_t id = 1; id <= 120; ++id) queue.add(messages[id] = random.message(id));
+  const Time now = static_cast<Time>(random.below(20 * kSecond));
+  const double latency = static_cast<double>(random.below(2000)) / 1000;
+  const bool halves = random.below(2) == 0;
+  const SortedCandidates sorted(messages, now, latency, halves);
   SendOrder order(queue, now, latency, halves);
-  for (const SendCandidate& expected : scan.candidates) {
+  for (const SendCandidate& expected : sorted.candidates) {
     if (!messages.contains(expected.id)) continue;
     const auto peeked = order.peek();
     const auto candidate = order.next();
@@ -78,40 +80,40 @@
     const SendGroup group = send_group(messages.at(expected.id));
     EXPECT_FALSE(order.class_of_next().group < group || group < order.class_of_next().group);
     order.pass();
-    const auto also_sent = messages.lower_bound(1 + drawn.below(120));
-    if (drawn.below(3) != 0 || also_sent == messages.end()) continue;
+    const auto also_sent = messages.lower_bound(1 + random.below(120));
+    if (random.below(3) != 0 || also_sent == messages.end()) continue;
     queue.remove(also_sent->second);
     messages.erase(also_sent);
   }
   EXPECT_FALSE(order.next());
 }
 
-TEST_P(SendOrders, KnowWhetherAnyMessageComesBehind) {
-  Drawn drawn(GetParam());
+TEST_P(SendOrderTest, DetectsMessagesAfterCandidate) {
+  RandomMessages random(GetParam());
   std::map<uint64_t, Message> messages;
   SendQueue queue;
-  for (uint64_t id = 1; id <= 40; ++id) queue.add(messages[id] = drawn.message(id));
-  const Time now = static_cast<Time>(drawn.below(20 * kSecond));
-  const bool halves = drawn.below(2) == 0;
-  const Scan scan(messages, now, 0.1, halves);
+  for (uint64_t id = 1; id <= 40; ++id) queue.add(messages[id] = random.message(id));
+  const Time now = static_cast<Time>(random.below(20 * kSecond));
+  const bool halves = random.below(2) == 0;
+  const SortedCandidates sorted(messages, now, 0.1, halves);
   const SendOrder order(queue, now, 0.1, halves);
-  for (const SendCandidate& candidate : scan.candidates)
-    EXPECT_EQ(order.has_any_after(candidate), candidate < scan.candidates.back());
+  for (const SendCandidate& candidate : sorted.candidates)
+    EXPECT_EQ(order.has_any_after(candidate), candidate < sorted.candidates.back());
   while (!messages.empty()) {
     queue.remove(messages.begin()->second);
     messages.erase(messages.begin());
   }
   EXPECT_TRUE(queue.empty());
-  EXPECT_FALSE(order.has_any_after(scan.candidates.front()));
+  EXPECT_FALSE(order.has_any_after(sorted.candidates.front()));
 }
 
-TEST_P(SendOrders, LeaveOutWhatIsDropped) {
-  Drawn drawn(GetParam());
+TEST_P(SendOrderTest, SkipsDroppedSubgroups) {
+  RandomMessages random(GetParam());
   std::map<uint64_t, Message> messages;
   SendQueue queue;
-  for (uint64_t id = 1; id <= 60; ++id) queue.add(messages[id] = drawn.message(id));
+  for (uint64_t id = 1; id <= 60; ++id) queue.add(messages[id] = random.message(id));
   SendOrder order(queue, 5 * kSecond, 0.1, true);
-  order.drop_if([](const SendOrder::Class& its_class) { return its_class.group.is_retry; });
+  order.drop_if([](const SendOrder::Class& subgroup) { return subgroup.group.is_retry; });
   std::set<uint64_t> taken;
   for (auto candidate = order.next(); candidate; candidate = order.next()) {
     taken.insert(candidate->id);
@@ -120,7 +122,7 @@
   for (const auto& [id, message] : messages) EXPECT_EQ(taken.contains(id), !message.is_retry) << id;
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, SendOrders, ::testing::Range<uint64_t>(1, 41));
+INSTANTIATE_TEST_SUITE_P(Seeds, SendOrderTest, ::testing::Range<uint64_t>(1, 41));
 
 }  // namespace
 }  // namespace turntally::policy::testing
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -8,7 +8,7 @@
 namespace turntally::policy {
 namespace {
 
-const char kFacts[] =
+const char kSettingsText[] =
     "categories.count=2\n"
     "categories.0.name=update\n"
     "categories.0.semantics=keyed\n"
@@ -42,7 +42,7 @@
     "a.key.of.later=whatever\n";
 
 std::string without(const std::string& key) {
-  std::string text = kFacts;
+  std::string text = kSettingsText;
   const size_t at = text.find(key + "=");
   return text.erase(at, text.find('\n', at) - at + 1);
 }
@@ -57,27 +57,27 @@
 }
 
 TEST(Settings, ReadsAllKeys) {
-  const Settings s = parse_settings(kFacts);
-  ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotentWithKey);
-  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
-  EXPECT_EQ(s.classes[0].deduplication_window, 15'000'000);
-  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kNonIdempotent);
-  EXPECT_TRUE(s.classes[1].in_order);
-  ASSERT_EQ(s.kinds.size(), 2u);
-  EXPECT_TRUE(s.kinds[0].independent_endpoints);
-  EXPECT_EQ(s.kinds[1].max_batch_size, 5);
-  EXPECT_EQ(s.max_concurrent_calls, 10);
-  EXPECT_EQ(s.max_pending_messages, 359);
-  EXPECT_TRUE(s.late_weight_halves);
-  EXPECT_TRUE(s.list_needs_watch);
-  EXPECT_EQ(s.weights, Weights::kNominal);
-  EXPECT_EQ(s.report_limit_remaining_index, 0);
-  EXPECT_EQ(s.report_limit_index, 1);
-  EXPECT_EQ(s.slow_start_duration, 12'000'000);
-  EXPECT_DOUBLE_EQ(s.initial_capacity_share, 0.21);
-  ASSERT_EQ(s.tenants.size(), 1u);
-  EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 7.5);
+  const Settings settings = parse_settings(kSettingsText);
+  ASSERT_EQ(settings.classes.size(), 2u);
+  EXPECT_EQ(settings.classes[0].idempotency, Idempotency::kIdempotentWithKey);
+  EXPECT_EQ(settings.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(settings.classes[0].deduplication_window, 15'000'000);
+  EXPECT_EQ(settings.classes[1].idempotency, Idempotency::kNonIdempotent);
+  EXPECT_TRUE(settings.classes[1].in_order);
+  ASSERT_EQ(settings.kinds.size(), 2u);
+  EXPECT_TRUE(settings.kinds[0].independent_endpoints);
+  EXPECT_EQ(settings.kinds[1].max_batch_size, 5);
+  EXPECT_EQ(settings.max_concurrent_calls, 10);
+  EXPECT_EQ(settings.max_pending_messages, 359);
+  EXPECT_TRUE(settings.late_weight_halves);
+  EXPECT_TRUE(settings.list_needs_watch);
+  EXPECT_EQ(settings.weights, Weights::kNominal);
+  EXPECT_EQ(settings.report_limit_remaining_index, 0);
+  EXPECT_EQ(settings.report_limit_index, 1);
+  EXPECT_EQ(settings.slow_start_duration, 12'000'000);
+  EXPECT_DOUBLE_EQ(settings.initial_capacity_share, 0.21);
+  ASSERT_EQ(settings.tenants.size(), 1u);
+  EXPECT_DOUBLE_EQ(settings.tenants[0].quota_per_s, 7.5);
 }
 
 TEST(Settings, NamesMissingKey) {
@@ -89,14 +89,15 @@
 }
 
 TEST(Settings, NamesUnreadableKey) {
-  EXPECT_NE(error_of(std::string(kFacts) + "bounds.open_cap=many\n").find("bounds.open_cap"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "bounds.open_cap=many\n").find("bounds.open_cap"),
             std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "categories.count=0\n").find("categories.count"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "categories.count=0\n").find("categories.count"),
             std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "obligations.cold_s=-1\n").find("obligations.cold_s"),
-            std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "categories.0.semantics=odd\n").find("categories.0.semantics"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "obligations.cold_s=-1\n").find("obligations.cold_s"),
             std::string::npos);
+  EXPECT_NE(
+      error_of(std::string(kSettingsText) + "categories.0.semantics=odd\n").find("categories.0.semantics"),
+      std::string::npos);
 }
 
 TEST(Settings, NamesKeyOutOfRange) {
@@ -104,11 +105,14 @@
                            "obligations.fall_multiple=-1", "obligations.fall_multiple=nan",
                            "over_share_worth=2", "bounds.max_attempts=0", "family_info.calls_out=0"}) {
     const std::string key(line, std::string(line).find('='));
-    EXPECT_EQ(error_of(std::string(kFacts) + line + "\n"), "setting " + key + " is unreadable") << line;
+    EXPECT_EQ(error_of(std::string(kSettingsText) + line + "\n"), "setting " + key + " is unreadable")
+        << line;
   }
 }
 
-TEST(Settings, SkipsUnknownKeys) { EXPECT_EQ(error_of(std::string(kFacts) + "x.y=1\nno_equals\n"), ""); }
+TEST(Settings, SkipsUnknownKeys) {
+  EXPECT_EQ(error_of(std::string(kSettingsText) + "x.y=1\nno_equals\n"), "");
+}
 
 }  // namespace
 }  // namespace turntally::policy
--- a/tests/policy/waiting_messages_test.cpp
+++ b/tests/policy/waiting_messages_test.cpp
@@ -1,4 +1,4 @@
-// The queues of waiting messages against a plain scan over all of them, on drawn events.
+// Compares WaitingMessages with a plain scan over all messages, for random operations.
 #include "policy/waiting_messages.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr Time kTick = 10 * kMillisecond;
 
-class Waiting : public ::testing::TestWithParam<uint64_t> {
+class WaitingMessagesTest : public ::testing::TestWithParam<uint64_t> {
  protected:
   uint64_t below(uint64_t bound) { return random_() % bound; }
   Time up_to(Time span) { return static_cast<Time>(below(static_cast<uint64_t>(span))); }
@@ -49,24 +49,24 @@
     return ids;
   }
 
-  Time least(const std::function<Time(const Message&)>& time_of) const {
-    Time least = kNever;
-    for (const auto& [id, message] : messages_) least = std::min(least, time_of(message));
-    return least;
+  Time earliest(const std::function<Time(const Message&)>& time_of) const {
+    Time earliest = kNever;
+    for (const auto& [id, message] : messages_) earliest = std::min(earliest, time_of(message));
+    return earliest;
   }
 
-  void expect_as_scanned() {
+  void expect_matches_scan() {
     const auto is_expired = [this](const Message& message) {
       return now_ >= last_start(message, kTick) || now_ >= attempts_end(message, kTick);
     };
     EXPECT_EQ(waiting_.expired(now_), scan(is_expired));
-    EXPECT_EQ(waiting_.next_last_start(), least([](const Message& m) { return last_start(m, kTick); }));
+    EXPECT_EQ(waiting_.next_last_start(), earliest([](const Message& m) { return last_start(m, kTick); }));
     const Time opens = now_ + up_to(3 * kSecond);
     EXPECT_EQ(waiting_.last_start_until(1, opens), scan([opens](const Message& message) {
                 return message.arrival.destination == 1 && last_start(message, kTick) <= opens;
               }));
     waiting_.end_pauses(now_, messages_);
-    EXPECT_EQ(waiting_.next_pause_end(), least([this](const Message& message) {
+    EXPECT_EQ(waiting_.next_pause_end(), earliest([this](const Message& message) {
                 return message.not_before > now_ ? message.not_before : kNever;
               }));
     expect_queued();
@@ -92,19 +92,19 @@
   WaitingMessages waiting_;
 };
 
-TEST_P(Waiting, AnswersAsAScanDoes) {
+TEST_P(WaitingMessagesTest, MatchesPlainScan) {
   for (int step = 0; step < 300; ++step) {
     now_ += up_to(50 * kMillisecond);
     for (uint64_t i = below(4); i > 0; --i) add();
     if (!messages_.empty() && below(2) == 0) remove(messages_.begin()->first);
-    expect_as_scanned();
+    expect_matches_scan();
     for (const uint64_t id : waiting_.expired(now_)) remove(id);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Waiting, ::testing::Range<uint64_t>(1, 21));
+INSTANTIATE_TEST_SUITE_P(Seeds, WaitingMessagesTest, ::testing::Range<uint64_t>(1, 21));
 
-TEST(WaitingInOrder, QueuesOnlyTheMessageThatIsNext) {
+TEST(WaitingMessagesOrdering, QueuesOnlyNextMessageOfKey) {
   WaitingMessages waiting;
   std::map<uint64_t, Message> messages;
   for (const uint64_t id : {1, 2}) {
--- a/tests/sim/wire_test.cpp
+++ b/tests/sim/wire_test.cpp
@@ -40,7 +40,7 @@
   return std::get<T>(std::get<policy::Event>(item.event));
 }
 
-TEST(Wire, ReadsAHeader) {
+TEST(Wire, ReadsHeader) {
   const Header header = decode_header(bytes("00000041 00000005 4020d3126e978d50"));
   EXPECT_EQ(header.length, 65u);
   EXPECT_EQ(header.records, 5u);
@@ -68,7 +68,7 @@
   EXPECT_EQ(event<policy::MessageWithdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
 }
 
-TEST(Wire, ReadsAnOutcomeWithAWaitAndAReport) {
+TEST(Wire, ReadsOutcomeWithRetryAfterAndLoadReport) {
   Decoder decoder;
   const auto events = decode(decoder, 2,
                              "0c 0003"
@@ -87,7 +87,7 @@
 const char kEntryA[] = "01 00 3f800000 0a124a07 1b5b 0039 0000000000000000 0000";
 const char kEntryB[] = "02 01 3fc00000 0a9011f2 1b84 0039 4018666666666666 0001";
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
+TEST(Wire, ResolvesListNumbersInOrder) {
   Decoder decoder;
   const std::string view = "02 00000000 04 00000029";
   const auto events = decode(
@@ -105,14 +105,14 @@
   EXPECT_DOUBLE_EQ(second.weight, 1.5);
 }
 
-TEST(Wire, AFailedViewNeedsNoList) {
+TEST(Wire, ReadsFailedViewWithoutList) {
   Decoder decoder;
   const auto events = decode(decoder, 2, "0c 0003 02 00000007 03 00000000");
   EXPECT_EQ(event<policy::EndpointListChanged>(events.at(0)).form,
             policy::EndpointListChanged::Form::kFailed);
 }
 
-TEST(Wire, ReadsStartKillProbeAndNote) {
+TEST(Wire, ReadsStartKillHealthCheckAndGossip) {
   Decoder decoder;
   const auto events = decode(decoder, 5,
                              "0c 0003 01 0000000000000009 00000003 613d62 0a"
@@ -146,13 +146,13 @@
                                "0a 0002 6869 0b ffff 0002 6869"));
 }
 
-TEST(Wire, PanicNamesItsInstance) {
+TEST(Wire, WritesPanicWithInstance) {
   Encoder out;
   out.panic(3, "oh");
   EXPECT_EQ(out.frame(), bytes("00000008 00000002 04 0003 06 0002 6f68"));
 }
 
-TEST(Wire, SaysWhatIsMalformedAndWhere) {
+TEST(Wire, ReportsMalformedPartAndPosition) {
   EXPECT_EQ(error_of(1, "0c 00"), "relay_id is cut short at byte 17");
   EXPECT_EQ(error_of(2, "0c 0003 63"), "unknown event code 99 at byte 19");
   EXPECT_EQ(error_of(1, "0b 00000000 ffffffff"), "nodes_list is cut short at byte 25");
