--- a/relay/call_batches.h
+++ b/relay/call_batches.h
@@ -1,4 +1,4 @@
-// Messages that go to one endpoint in one turn of the event loop and travel as one call.
+// Batches of messages that are sent to one endpoint in one turn of the event loop, as one call.
 #pragma once
 
 #include <map>
@@ -8,15 +8,15 @@
 
 namespace turntally::relay {
 
-// Owns the batches of this turn, by endpoint. Invariant: none has more messages than its endpoint takes, and
-// the lines of one are kMostBundle bytes at most unless it has one message.
+// Owns the batches of the current turn, by endpoint. Invariant: no batch has more messages than its endpoint
+// accepts, and the body of a batch with several messages is at most kMaxBatchBodyBytes long.
 class CallBatches {
  public:
-  // Adds a message to its endpoint's batch. Where that has no room, it is returned, whole, and a new one is
-  // begun; else the result is empty.
+  // Adds a message to its endpoint's batch. If that has no room, starts a new batch with the message and
+  // returns the full one; else returns an empty batch.
   std::vector<Call> add(Call call, size_t max_messages);
 
-  // All that there are, and forgets them.
+  // Removes and returns all batches.
   std::vector<std::vector<Call>> take_all();
 
  private:
--- a/relay/delivery_terms.cpp
+++ b/relay/delivery_terms.cpp
@@ -7,14 +7,14 @@
 namespace turntally::relay {
 namespace {
 
-// Names of facts in the journal.
-const std::string kTermsFact = "rules ";  // followed by the number of the terms
-const std::string kClassFact = "class ";  // followed by the class's name: of versions before, without numbers
+// Prefixes of fact names in the journal.
+const std::string kTermsFactPrefix = "rules ";  // followed by the number of the terms
+const std::string kClassFactPrefix = "class ";  // followed by the class's name; from versions without numbers
 
-// Longer than any wait after which a rejected client comes again.
-constexpr Time kRetirement = 5'000'000;
+// Longer than any delay after which a client submits a rejected message again.
+constexpr Time kRetirementPeriod = 5'000'000;
 
-// Keys of the terms in the journal.
+// JSON keys of the terms in the journal.
 constexpr const char* kIdempotencyKey = "effect";
 constexpr const char* kDeduplicationScopeKey = "scope";
 constexpr const char* kDeduplicationWindowKey = "window";
@@ -23,7 +23,7 @@
 constexpr const char* kMaxLifetimeKey = "give_up";
 constexpr const char* kPriorityWeightKey = "worth";
 constexpr const char* kLateWeightShareKey = "late_worth";
-constexpr const char* kMaxAttemptsKey = "attempts";  // not in older records
+constexpr const char* kMaxAttemptsKey = "attempts";  // missing in older records
 
 std::string journal_text(const policy::ClassSettings& terms, int max_attempts) {
   return nlohmann::json{{kIdempotencyKey, static_cast<int>(terms.idempotency)},
@@ -76,25 +76,25 @@
       journal_text(settings.classes[class_index(settings, message_class)], settings.max_attempts);
   int64_t last = 0;
   const auto& facts = journal_.remembered();
-  for (auto it = facts.lower_bound(kTermsFact); it != facts.end() && it->first.starts_with(kTermsFact);
-       ++it) {
-    const int64_t known = std::stoll(it->first.substr(kTermsFact.size()));
-    last = std::max(last, known);
-    if (it->second == text) return number = known;
+  for (auto it = facts.lower_bound(kTermsFactPrefix);
+       it != facts.end() && it->first.starts_with(kTermsFactPrefix); ++it) {
+    const int64_t recorded = std::stoll(it->first.substr(kTermsFactPrefix.size()));
+    last = std::max(last, recorded);
+    if (it->second == text) return number = recorded;
   }
   number = last + 1;
-  journal_.remember(kTermsFact + std::to_string(number), text);
+  journal_.remember(kTermsFactPrefix + std::to_string(number), text);
   return number;
 }
 
 DeliveryTerms DeliveryTermsStore::find(const policy::Settings& settings, const std::string& message_class,
                                        int64_t number) const {
   const auto& facts = journal_.remembered();
-  const auto numbered = facts.find(kTermsFact + std::to_string(number));
+  const auto numbered = facts.find(kTermsFactPrefix + std::to_string(number));
   if (numbered != facts.end()) return parse_journal_text(message_class, numbered->second);
   const int index = class_index(settings, message_class);
   if (index >= 0) return {settings.classes[index], 0};
-  const auto named = facts.find(kClassFact + message_class);
+  const auto named = facts.find(kClassFactPrefix + message_class);
   if (named != facts.end()) return parse_journal_text(message_class, named->second);
   DeliveryTerms terms;
   terms.name = message_class;
@@ -102,7 +102,8 @@
 }
 
 std::string DeliveryTermsStore::fact_name(const std::string& message_class, int64_t number) {
-  return number == kNotRecorded ? kClassFact + message_class : kTermsFact + std::to_string(number);
+  return number == kNotRecorded ? kClassFactPrefix + message_class
+                                : kTermsFactPrefix + std::to_string(number);
 }
 
 void DeliveryTermsStore::forget_unused(const policy::Settings& settings,
@@ -113,7 +114,7 @@
   std::vector<std::string> unused;
   for (const auto& [name, text] : journal_.remembered()) {
     const bool unneeded =
-        (name.starts_with(kTermsFact) && !current.contains(text)) || name.starts_with(kClassFact);
+        (name.starts_with(kTermsFactPrefix) && !current.contains(text)) || name.starts_with(kClassFactPrefix);
     if (unneeded && !facts_in_use.contains(name)) unused.push_back(name);
   }
   for (const std::string& name : unused) journal_.remember(name, "");
@@ -128,7 +129,7 @@
     const bool removed = !named.contains(old.name);
     const bool removed_earlier = removed && earlier != classes_.end() && earlier->second.removed;
     const RetiredClass entry =
-        removed_earlier ? earlier->second : RetiredClass{now + kRetirement, old.max_lifetime, removed};
+        removed_earlier ? earlier->second : RetiredClass{now + kRetirementPeriod, old.max_lifetime, removed};
     if (entry.until <= now) continue;
     retired[old.name] = entry;
     if (removed) next.classes.push_back(old);
--- a/relay/descriptor.cpp
+++ b/relay/descriptor.cpp
@@ -7,7 +7,7 @@
 namespace turntally::relay {
 namespace {
 
-// -1: the descriptor has no such option.
+// Returns the value of a socket option, or -1 if the descriptor has no such option.
 int socket_option(int fd, int name) {
   int value = -1;
   socklen_t size = sizeof value;
--- a/relay/descriptor.h
+++ b/relay/descriptor.h
@@ -1,10 +1,11 @@
-// A file descriptor with an owner.
+// Ownership of file descriptors.
 #pragma once
 
 #include <utility>
 
 namespace turntally::relay {
 
+// Owns a file descriptor and closes it on destruction. -1: none.
 class Descriptor {
  public:
   explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -22,15 +23,16 @@
   int fd_;
 };
 
-// Whether the descriptor is a TCP socket: one that listens, or one that does not.
+// Returns whether the descriptor is an IPv4 TCP socket that listens, or with `listening` false one that does
+// not.
 bool is_stream_socket(int fd, bool listening);
 
-// Keeps one descriptor free for the next one that comes over a local socket: the kernel closes a descriptor
-// that finds the process at its limit, and a client's connection with it.
-// Invariant: while it is held, one descriptor can be opened or received right after release().
+// Reserves one descriptor for the next one that is received over a local socket: if the process is at its
+// limit, the kernel closes the received descriptor, and with it a client's connection.
+// Invariant: while the reserve is held, one descriptor can be opened or received right after release().
 class DescriptorReserve {
  public:
-  // Whether one is held; takes it where it is not and the process has one left.
+  // Takes a descriptor if none is held. Returns false if the process has none left.
   bool acquire();
   void release();
 
--- a/relay/descriptor_limits.cpp
+++ b/relay/descriptor_limits.cpp
@@ -7,10 +7,10 @@
 namespace turntally::relay {
 namespace {
 
-// Standard ones, event loop, signals, listeners, journal twice, watches, notices, handover.
+// Standard streams, event loop, signals, listeners, two journal files, watches, notices, handover.
 constexpr size_t kOwnDescriptors = 24;
-// Operators, and what another process needs during an upgrade beside clients and calls; less where few are
-// allowed.
+// Operators, and what another process needs during an upgrade besides clients and calls. Fewer if the process
+// may open few descriptors.
 constexpr size_t kOtherDescriptors = Control::kMostCallers + 24;
 constexpr size_t kHealthChecks = 8;
 
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// One more operator is let in before another goes.
+// One less than the descriptors for operators: a new one is accepted before an old one is closed.
 size_t max_operators(const Config& config) {
   return std::min(Control::kMostCallers, other_descriptors(config) - 1);
 }
--- a/relay/descriptor_limits.h
+++ b/relay/descriptor_limits.h
@@ -1,5 +1,5 @@
-// Shares the process's file descriptors out. Calls have what they need, then clients, who need a third for
-// requests, half; idle connections have what is left.
+// Divides the process's file descriptors. Calls get what they need; then clients, which need a third of all
+// for their requests, get up to half of all; idle connections to endpoints get the rest.
 #pragma once
 
 #include <cstddef>
@@ -9,14 +9,14 @@
 
 namespace turntally::relay {
 
-// Operators connected at once.
+// Returns the maximum number of operators connected at once.
 size_t max_operators(const Config& config);
 
-// Clients connected at once.
+// Returns the maximum number of clients connected at once.
 size_t max_clients(const Config& config);
 
-// The settings with no more concurrent calls than there are descriptors: a connection that cannot be opened
-// for want of one would pass for an endpoint that is gone.
+// Returns the settings with max_concurrent_calls limited to the available descriptors: a connection that
+// fails for lack of a descriptor would look like an endpoint that is down.
 policy::Settings within_descriptors(const Config& config);
 
 Upstream::Limits upstream_limits(const Config& config);
--- a/relay/durable_clock.cpp
+++ b/relay/durable_clock.cpp
@@ -6,31 +6,31 @@
 namespace turntally::relay {
 namespace {
 
-constexpr char kBootFile[] = "/proc/sys/kernel/random/boot_id";
-constexpr char kBoot[] = "boot";
-constexpr char kOffset[] = "offset";
+constexpr char kBootIdFile[] = "/proc/sys/kernel/random/boot_id";
+constexpr char kBootKey[] = "boot";
+constexpr char kOffsetKey[] = "offset";
 
 }  // namespace
 
 DurableClock::Reading DurableClock::read_machine() {
-  Reading out;
-  std::ifstream file(kBootFile);
-  std::getline(file, out.boot);
-  out.steady = net::steady_now();
-  out.wall = net::wall_now();
-  return out;
+  Reading reading;
+  std::ifstream file(kBootIdFile);
+  std::getline(file, reading.boot);
+  reading.steady = net::steady_now();
+  reading.wall = net::wall_now();
+  return reading;
 }
 
 DurableClock::DurableClock(const Reading& machine, const std::string& stored)
     : boot_(machine.boot), offset_(machine.wall - machine.steady) {
-  const auto before = nlohmann::json::parse(stored, nullptr, false);
-  if (boot_.empty() || !before.is_object() || before.value(kBoot, "") != boot_) return;
-  offset_ = before.value(kOffset, offset_);
+  const auto previous = nlohmann::json::parse(stored, nullptr, false);
+  if (boot_.empty() || !previous.is_object() || previous.value(kBootKey, "") != boot_) return;
+  offset_ = previous.value(kOffsetKey, offset_);
 }
 
 std::string DurableClock::text() const {
   if (boot_.empty()) return "";
-  return nlohmann::json{{kBoot, boot_}, {kOffset, offset_}}.dump();
+  return nlohmann::json{{kBootKey, boot_}, {kOffsetKey, offset_}}.dump();
 }
 
 }  // namespace turntally::relay
--- a/relay/durable_clock.h
+++ b/relay/durable_clock.h
@@ -1,4 +1,4 @@
-// The clock for what outlasts the process: deadlines, sends and waits in the journal.
+// The clock for times that outlast the process: deadlines, send times and waits in the journal.
 #pragma once
 
 #include <string>
@@ -9,29 +9,30 @@
 
 using net::Time;
 
-// The machine's monotonic clock, moved by an offset that stays the same from process to process. When the
-// folder is first used in a boot, the offset makes it read as the wall clock does; later steps of the wall
-// clock do not reach it. Only behind another boot, where the monotonic clock began anew, the wall clock is
-// all there is to go by.
+// The machine's monotonic clock plus an offset that stays the same from process to process. When the state
+// folder is first used in a boot, the offset makes the clock equal to the wall clock; later steps of the wall
+// clock do not affect it. After a reboot, when the monotonic clock has started again, the wall clock is the
+// only reference.
 class DurableClock {
  public:
-  struct Reading {     // of the machine, at the process's start
-    std::string boot;  // names the boot; empty where the platform does not tell
+  // The machine's clocks when the process started.
+  struct Reading {
+    std::string boot;  // identifies the boot; empty if the platform does not name it
     Time steady = 0;
     Time wall = 0;
   };
 
-  // `stored`: what text() was in the process before; empty or unreadable: there was none.
+  // `stored` is the previous process's text(); if empty or unreadable, there was no such process.
   DurableClock(const Reading& machine, const std::string& stored);
 
   static Reading read_machine();
 
   Time now() const { return from_steady(net::steady_now()); }
-  // Points in time, from one clock to the other. Microseconds.
+  // Convert points in time, in microseconds, from one clock to the other.
   Time from_steady(Time steady) const { return steady + offset_; }
   Time to_steady(Time durable) const { return durable - offset_; }
 
-  // To be stored in the folder. Empty: there is nothing to store.
+  // Returns the text to store in the state folder; empty if there is nothing to store.
   std::string text() const;
 
  private:
--- a/relay/errors.h
+++ b/relay/errors.h
@@ -1,4 +1,4 @@
-// What keeps the relay from serving, and what it tells its log: docs/errors.md.
+// Errors that keep the relay from serving or that it logs. docs/errors.md lists them.
 #pragma once
 
 #include "net/error.h"
@@ -9,46 +9,46 @@
  public:
   explicit NoEnvironment(const std::string& variable)
       : Error("environment_missing", net::Family::kMisuse, "environment variable " + variable + " is not set",
-              "set PROXY_CONFIG to the configuration's file and PROXY_STATE to the folder that lasts") {}
+              "set PROXY_CONFIG to the configuration file and PROXY_STATE to the state folder") {}
 };
 
-// The configuration's file, at the start and at SIGHUP.
+// An invalid configuration file, at the start or on SIGHUP.
 class BadConfig : public net::Error {
  public:
   explicit BadConfig(const std::string& what)
       : Error("relay_config", net::Family::kMisuse, what,
-              "mend the file that PROXY_CONFIG names; a running relay goes on with what it had") {}
+              "correct the file that PROXY_CONFIG names; a running relay keeps its previous configuration") {}
 };
 
 class StateUnusable : public net::Error {
  public:
   explicit StateUnusable(const std::string& what)
       : Error("state_unusable", net::Family::kBroken, what,
-              "see that the folder of PROXY_STATE is there, can be written and has room") {}
+              "check that the folder that PROXY_STATE names exists, is writable and has free space") {}
 };
 
 class NotHandedOver : public net::Error {
  public:
   explicit NotHandedOver(const std::string& folder)
       : Error("not_handed_over", net::Family::kRefused,
-              "another process owns " + folder + " and does not hand over",
-              "end the process before, then start this one again") {}
+              "another process owns " + folder + " and does not hand it over",
+              "stop the process that owns the folder, then start this one again") {}
 };
 
 class NoHandover : public net::Error {
  public:
   explicit NoHandover(const std::string& why)
-      : Error("no_handover", net::Family::kBroken, "no local socket for a successor: " + why,
-              "end this process before a new version is started; all else works") {}
+      : Error("no_handover", net::Family::kBroken, "cannot listen on a local socket for a successor: " + why,
+              "stop this process before starting a new version; everything else works") {}
 };
 
-// A frame of a hand-over, from either process. It is skipped; a client's connection in it is closed.
+// An invalid handover frame from either process. It is skipped; a client's connection in it is closed.
 class HandoverFrameInvalid : public net::Error {
  public:
   HandoverFrameInvalid(char kind, const std::string& what)
       : Error("handover_frame_invalid", net::Family::kBroken,
-              "frame " + std::to_string(static_cast<unsigned char>(kind)) + " of the hand-over: " + what,
-              "nothing: the hand-over goes on without it; tell the developers which two versions met") {}
+              "handover frame of kind " + std::to_string(static_cast<unsigned char>(kind)) + ": " + what,
+              "none: the handover continues without the frame; report both versions to the developers") {}
 };
 
 }  // namespace turntally::relay
--- a/relay/fence.cpp
+++ b/relay/fence.cpp
@@ -43,13 +43,13 @@
     throw ClaimUnreadable("X-Lease is no name of 1 to " + std::to_string(FencingTokens::kMostName) +
                           " printable characters");
   }
-  LeaseClaim out{lease, 0, false};
+  LeaseClaim claim{lease, 0, false};
   const char* end = token.data() + token.size();
-  const auto [parsed_end, error] = std::from_chars(token.data(), end, out.token);
-  if (error != std::errc{} || parsed_end != end || out.token == 0) {
+  const auto [parsed_end, error] = std::from_chars(token.data(), end, claim.token);
+  if (error != std::errc{} || parsed_end != end || claim.token == 0) {
     throw ClaimUnreadable("X-Lease-Token is no whole number above 0");
   }
-  return out;
+  return claim;
 }
 
 void FencingTokens::raise(const LeaseClaim& claim) {
--- a/relay/fence.h
+++ b/relay/fence.h
@@ -1,5 +1,5 @@
-// What a call says of the lease under which it is made, and the highest token seen of each lease: whoever
-// comes with a lower one has lost the lease to another. It does no I/O: the relay stores what is raised.
+// Fencing of operator requests: the lease that a request claims, and the highest token seen of each lease. A
+// holder with a lower token has lost the lease to another. Does no I/O: the relay stores the raised tokens.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,18 @@
 
 using Token = uint64_t;
 
+// The lease under which a request is made.
 struct LeaseClaim {
   std::string lease;
   Token token = 0;
-  bool raise_only = false;  // raises the fence and does nothing else
+  bool raise_only = false;  // the request raises the highest token and does nothing else
 };
 
 class FenceError : public net::Error {
  public:
   using net::Error::Error;
-  virtual int status() const = 0;  // of HTTP
-  std::string body() const;        // JSON
+  virtual int status() const = 0;  // HTTP status
+  std::string body() const;        // the JSON reply
 };
 
 class ClaimUnreadable : public FenceError {
@@ -49,16 +50,19 @@
   int status() const override { return 507; }
 };
 
-// From the texts of X-Lease and X-Lease-Token. Throws ClaimUnreadable.
+// Parses the values of X-Lease and X-Lease-Token. Throws ClaimUnreadable.
 LeaseClaim parse_claim(const std::string& lease, const std::string& token);
 
+// The highest token of each lease.
 class FencingTokens {
  public:
-  static constexpr size_t kMostLeases = 64;  // a name that was seen once counts for good
-  static constexpr size_t kMostName = 200;   // as the registry has it
+  static constexpr size_t kMostLeases = 64;  // a lease is never forgotten
+  static constexpr size_t kMostName = 200;   // bytes, as in the registry
 
+  // Sets a lease's highest token as recovered from the journal.
   void recall(const std::string& lease, Token highest) { highest_[lease] = highest; }
-  // Throws LeaseFenced or LeaseNamesFull, and nothing has changed.
+  // Raises the lease's highest token to the claim's. Throws LeaseFenced for a lower token and TooManyLeases
+  // for one lease too many; nothing has changed then.
   void raise(const LeaseClaim& claim);
 
  private:
--- a/relay/final_answer_publisher.h
+++ b/relay/final_answer_publisher.h
@@ -10,10 +10,10 @@
 
 namespace turntally::relay {
 
-// A client may submit a message again once it has the final answer: then the next process must not call it.
-// So the record comes first. Where the disk does not take it, the answer waits until it does, or until the
-// message's deadline has passed and no process calls it either.
-// Owns: the answers that are not recorded yet. Deadlines are microseconds of the steady clock.
+// A client may submit a message again once it has the final answer, and then the next process must not send
+// the message. So the record comes first. If it cannot be written, the notice waits until it can, or until
+// the message's deadline, after which no process sends the message. Owns the answers that are not recorded
+// yet. Deadlines are microseconds of the steady clock.
 class FinalAnswerPublisher {
  public:
   FinalAnswerPublisher(boost::asio::io_context& io, Journal& journal, Notices& notices)
@@ -21,10 +21,10 @@
 
   void publish(FinalAnswer answer, Time deadline);
 
-  // No answer waits for its record.
+  // Returns whether no answer waits for its record.
   bool idle() const { return unrecorded_.empty(); }
 
-  // Publishes nothing more: the journal is another process's.
+  // Stops publishing the waiting answers: the successor owns the journal.
   void stop();
 
  private:
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -15,13 +15,13 @@
 namespace turntally::relay {
 namespace {
 
-constexpr double kFilePart = 0.42;    // of the disk: the old and the new file together stay well under it
-constexpr double kAcceptPart = 0.75;  // of the file: the remainder is for the records that follow
-constexpr size_t kReserve = 512;      // for a message's attempts and its end
-constexpr size_t kHeader = 8;         // length and checksum
-constexpr std::chrono::seconds kOpenPatience{5};
+constexpr double kMaxFileShare = 0.42;  // of the disk limit; old and new file together stay well below it
+constexpr double kAcceptShare = 0.75;   // of the maximum file size; the rest is for later records
+constexpr size_t kReservedBytesPerMessage = 512;  // for the records of its attempts and its end
+constexpr size_t kHeaderBytes = 8;                // length and checksum
+constexpr std::chrono::seconds kOpenTimeout{5};
 
-// The first byte of a record: a later version reads it, it never changes.
+// The first byte of a record. Later versions read it, so the values never change.
 enum RecordKind : char {
   kAccepted = 'A',
   kAttempt = 'T',
@@ -31,32 +31,32 @@
   kFact = 'F'
 };
 
-class Writer {
+class RecordWriter {
  public:
-  Writer(RecordKind kind, const std::string& id) {
-    out_.push_back(kind);
+  RecordWriter(RecordKind kind, const std::string& id) {
+    payload_.push_back(kind);
     text(id);
   }
-  Writer& number(int64_t value) {
+  RecordWriter& number(int64_t value) {
     char raw[sizeof value];
     std::memcpy(raw, &value, sizeof value);
-    out_.append(raw, sizeof raw);
+    payload_.append(raw, sizeof raw);
     return *this;
   }
-  Writer& text(std::string_view value) {
+  RecordWriter& text(std::string_view value) {
     number(static_cast<int64_t>(value.size()));
-    out_.append(value);
+    payload_.append(value);
     return *this;
   }
-  const std::string& payload() const { return out_; }
+  const std::string& payload() const { return payload_; }
 
  private:
-  std::string out_;
+  std::string payload_;
 };
 
-class Reader {
+class RecordReader {
  public:
-  explicit Reader(std::string_view bytes) : bytes_(bytes) {}
+  explicit RecordReader(std::string_view bytes) : bytes_(bytes) {}
   char kind() { return raw(1)[0]; }
   int64_t number() {
     int64_t value = 0;
@@ -68,10 +68,10 @@
 
  private:
   std::string_view raw(size_t count) {
-    if (count > bytes_.size()) throw std::runtime_error("journal record is cut short");
-    const auto out = bytes_.substr(0, count);
+    if (count > bytes_.size()) throw std::runtime_error("journal record is truncated");
+    const auto result = bytes_.substr(0, count);
     bytes_.remove_prefix(count);
-    return out;
+    return result;
   }
   std::string_view bytes_;
 };
@@ -83,13 +83,13 @@
 }
 
 std::string framed(std::string_view payload) {
-  const uint32_t head[2] = {static_cast<uint32_t>(payload.size()), checksum(payload)};
-  char raw[kHeader];
-  std::memcpy(raw, head, kHeader);
-  return std::string(raw, kHeader).append(payload);
+  const uint32_t header[2] = {static_cast<uint32_t>(payload.size()), checksum(payload)};
+  char raw[kHeaderBytes];
+  std::memcpy(raw, header, kHeaderBytes);
+  return std::string(raw, kHeaderBytes).append(payload);
 }
 
-Recovered read_accepted(const std::string& id, Reader& in) {
+Recovered read_accepted(const std::string& id, RecordReader& in) {
   Recovered entry;
   entry.message.id = id;
   entry.message.message_class = in.text();
@@ -97,46 +97,47 @@
   entry.message.destination = static_cast<int>(in.number());
   entry.deadline = in.number();
   entry.message.body = in.text();
-  if (in.more()) entry.message.tenant = in.text();  // none of these is in older records
+  if (in.more()) entry.message.tenant = in.text();  // older records lack these fields
   if (in.more()) entry.terms_number = in.number();
   if (in.more()) entry.message.ordering_key = static_cast<uint64_t>(in.number());
   return entry;
 }
 
-void read_attempt(Recovered& entry, Reader& in) {
+void read_attempt(Recovered& entry, RecordReader& in) {
   const int number = static_cast<int>(in.number());
   const Time sent = in.number();
-  if (number >= entry.attempts) ++entry.begun;  // a call that needs a new connection is recorded again
+  if (number >= entry.attempts) ++entry.begun;  // recorded again if the call needs a new connection
   entry.attempts = number + 1;
   RecordedAttempt& attempt = entry.possibly_run[number] = {sent, static_cast<int>(in.number()), ""};
-  if (in.more()) attempt.zone_name = in.text();  // not in older records
+  if (in.more()) attempt.zone_name = in.text();  // missing in older records
 }
 
-FinalAnswer read_final_answer(const std::string& id, Reader& in) {
+FinalAnswer read_final_answer(const std::string& id, RecordReader& in) {
   const bool returned = in.number() != 0;
   return FinalAnswer{id, returned, in.number()};
 }
 
 bool write_all(int file, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t done = ::write(file, bytes.data(), bytes.size());
-    if (done < 0 && errno == EINTR) continue;
-    if (done <= 0) return false;
-    bytes.remove_prefix(static_cast<size_t>(done));
+    const ssize_t written = ::write(file, bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR) continue;
+    if (written <= 0) return false;
+    bytes.remove_prefix(static_cast<size_t>(written));
   }
   return true;
 }
 
-// From the file's beginning. Throws StateUnusable: a part of it must not pass for the whole.
+// Reads the whole file. Throws StateUnusable on an error, as a part of the file must not be taken for the
+// whole.
 std::string read_all(int file, const std::filesystem::path& path) {
-  std::string out;
-  std::array<char, 64 * 1024> bytes;
+  std::string contents;
+  std::array<char, 64 * 1024> buffer;
   while (true) {
-    const ssize_t got = ::pread(file, bytes.data(), bytes.size(), static_cast<off_t>(out.size()));
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) throw StateUnusable("cannot read " + path.string() + ": " + std::strerror(errno));
-    if (got == 0) return out;
-    out.append(bytes.data(), static_cast<size_t>(got));
+    const ssize_t count = ::pread(file, buffer.data(), buffer.size(), static_cast<off_t>(contents.size()));
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) throw StateUnusable("cannot read " + path.string() + ": " + std::strerror(errno));
+    if (count == 0) return contents;
+    contents.append(buffer.data(), static_cast<size_t>(count));
   }
 }
 
@@ -145,79 +146,80 @@
 Journal::Journal(const std::filesystem::path& folder, size_t disk_bytes)
     : path_(folder / "journal"),
       fresh_path_(folder / "journal.new"),
-      most_file_(static_cast<size_t>(kFilePart * static_cast<double>(disk_bytes))) {
+      most_file_(static_cast<size_t>(kMaxFileShare * static_cast<double>(disk_bytes))) {
   std::error_code ignored;
   std::filesystem::remove(fresh_path_, ignored);
-  file_ = net::open_file(path_, O_RDWR | O_CREAT | O_APPEND, kOpenPatience);
+  file_ = net::open_file(path_, O_RDWR | O_CREAT | O_APPEND, kOpenTimeout);
   if (file_ < 0) throw StateUnusable("cannot open " + path_.string() + ": " + std::strerror(errno));
   replay();
 }
 
 Journal::~Journal() { ::close(file_); }
 
-// A process killed while it wrote leaves a torn record at the end: what stands before it is whole.
+// Reads the file's records up to the first damaged one. A process that is killed during a write leaves a torn
+// record at the end; all records before it are complete.
 void Journal::replay() {
   const std::string bytes = read_all(file_, path_);
-  std::map<std::string, size_t> places;
-  size_t at = 0;
-  while (bytes.size() - at >= kHeader) {
-    uint32_t head[2];
-    std::memcpy(head, bytes.data() + at, kHeader);
-    if (head[0] > bytes.size() - at - kHeader) break;
-    const auto payload = std::string_view(bytes).substr(at + kHeader, head[0]);
-    if (payload.empty() || checksum(payload) != head[1]) break;
-    apply(payload, places);
-    at += kHeader + head[0];
+  std::map<std::string, size_t> entry_indexes;
+  size_t offset = 0;
+  while (bytes.size() - offset >= kHeaderBytes) {
+    uint32_t header[2];
+    std::memcpy(header, bytes.data() + offset, kHeaderBytes);
+    if (header[0] > bytes.size() - offset - kHeaderBytes) break;
+    const auto payload = std::string_view(bytes).substr(offset + kHeaderBytes, header[0]);
+    if (payload.empty() || checksum(payload) != header[1]) break;
+    apply(payload, entry_indexes);
+    offset += kHeaderBytes + header[0];
   }
-  size_ = at;
-  // What is written behind a torn record would be lost: where it cannot be cut off the file is written anew
-  // first.
-  incomplete_ = at < bytes.size() && ::ftruncate(file_, static_cast<off_t>(at)) != 0;
-  std::vector<Recovered> left;
+  size_ = offset;
+  // The next replay would not find records behind a torn one. If that cannot be cut off, the next write
+  // compacts the file first.
+  incomplete_ = offset < bytes.size() && ::ftruncate(file_, static_cast<off_t>(offset)) != 0;
+  std::vector<Recovered> unfinished;
   for (size_t i = 0; i < recovered_.size(); ++i) {
-    const auto place = places.find(recovered_[i].message.id);
-    if (place != places.end() && place->second == i) left.push_back(std::move(recovered_[i]));
+    const auto index = entry_indexes.find(recovered_[i].message.id);
+    if (index != entry_indexes.end() && index->second == i) unfinished.push_back(std::move(recovered_[i]));
   }
-  recovered_ = std::move(left);
+  recovered_ = std::move(unfinished);
 }
 
-void Journal::apply(std::string_view record, std::map<std::string, size_t>& places) {
-  Reader in(record);
+void Journal::apply(std::string_view record, std::map<std::string, size_t>& entry_indexes) {
+  RecordReader in(record);
   const char kind = in.kind();
   const std::string id = in.text();
   if (kind == kFact) return set_fact(id, in.text());
   if (kind == kAccepted) {
-    places[id] = recovered_.size();
+    entry_indexes[id] = recovered_.size();
     recovered_.push_back(read_accepted(id, in));
     places_[id] = ++order_;
   }
-  const auto place = places.find(id);
-  if (place == places.end()) return;
-  Recovered& entry = recovered_[place->second];
+  const auto index = entry_indexes.find(id);
+  if (index == entry_indexes.end()) return;
+  Recovered& entry = recovered_[index->second];
   std::string& records = live_[places_[id]];
   if (kind == kAcknowledged) {
-    live_bytes_ -= records.size() + kReserve;
+    live_bytes_ -= records.size() + kReservedBytesPerMessage;
     live_.erase(places_[id]);
     places_.erase(id);
-    places.erase(place);
+    entry_indexes.erase(index);
     return;
   }
   if (kind == kAttempt) read_attempt(entry, in);
   if (kind == kNotStarted) entry.possibly_run.erase(static_cast<int>(in.number()));
   if (kind == kFinalAnswer) entry.unacknowledged_answer = read_final_answer(id, in);
-  if (records.empty()) live_bytes_ += kReserve;
+  if (records.empty()) live_bytes_ += kReservedBytesPerMessage;
   records += framed(record);
-  live_bytes_ += kHeader + record.size();
+  live_bytes_ += kHeaderBytes + record.size();
 }
 
 void Journal::set_fact(const std::string& name, const std::string& value) {
   const auto old = remembered_.find(name);
   if (old != remembered_.end()) {
-    live_bytes_ -= framed(Writer(kFact, name).text(old->second).payload()).size();
+    live_bytes_ -= framed(RecordWriter(kFact, name).text(old->second).payload()).size();
     remembered_.erase(old);
   }
   if (value.empty()) return;
-  live_bytes_ += framed(Writer(kFact, name).text(value).payload()).size();
+  live_bytes_ += framed(RecordWriter(kFact, name).text(value).payload()).size();
   remembered_[name] = value;
 }
 
@@ -225,7 +227,7 @@
   const auto old = remembered_.find(name);
   if (value == (old == remembered_.end() ? "" : old->second)) return;
   set_fact(name, value);
-  write(framed(Writer(kFact, name).text(value).payload()));
+  write(framed(RecordWriter(kFact, name).text(value).payload()));
 }
 
 bool Journal::remember_synced(const std::string& name, const std::string& value) {
@@ -236,43 +238,43 @@
   }
   if (!write_pending()) return false;
   if (unsynced_ && !sync()) {
-    incomplete_ = true;  // the next sync of the same file may say yes to what is lost: it is written anew
+    incomplete_ = true;  // a later sync of this file may succeed although data is lost: compact
     return false;
   }
   unsynced_ = false;
   return true;
 }
 
-// The folder too: the file's name may be new in it.
+// Syncs the file, and the folder because the file's name may be new in it.
 bool Journal::sync() {
   if (::fdatasync(file_) != 0) return false;
   const int folder = ::open(path_.parent_path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (folder < 0) return false;
-  const bool done = ::fsync(folder) == 0;
+  const bool synced = ::fsync(folder) == 0;
   ::close(folder);
-  return done;
+  return synced;
 }
 
-bool Journal::record_accepted(const SubmittedMessage& m, Time deadline, int64_t terms_number) {
-  Writer out(kAccepted, m.id);
-  out.text(m.message_class)
-      .text(m.key)
-      .number(m.destination)
+bool Journal::record_accepted(const SubmittedMessage& message, Time deadline, int64_t terms_number) {
+  RecordWriter record(kAccepted, message.id);
+  record.text(message.message_class)
+      .text(message.key)
+      .number(message.destination)
       .number(deadline)
-      .text(m.body)
-      .text(m.tenant)
+      .text(message.body)
+      .text(message.tenant)
       .number(terms_number)
-      .number(static_cast<int64_t>(m.ordering_key));
-  const size_t bytes = kHeader + out.payload().size() + kReserve;
-  if (static_cast<double>(live_bytes_ + bytes) > kAcceptPart * static_cast<double>(most_file_)) return false;
-  places_[m.id] = ++order_;
-  if (append(m.id, out.payload())) {
-    live_bytes_ += kReserve;
+      .number(static_cast<int64_t>(message.ordering_key));
+  const size_t bytes = kHeaderBytes + record.payload().size() + kReservedBytesPerMessage;
+  if (static_cast<double>(live_bytes_ + bytes) > kAcceptShare * static_cast<double>(most_file_)) return false;
+  places_[message.id] = ++order_;
+  if (append(message.id, record.payload())) {
+    live_bytes_ += kReservedBytesPerMessage;
     return true;
   }
   live_bytes_ -= live_[order_].size();
   live_.erase(order_);
-  places_.erase(m.id);
+  places_.erase(message.id);
   return false;
 }
 
@@ -280,34 +282,35 @@
                              const std::string& zone_name) {
   const auto place = places_.find(id);
   if (place == places_.end()) return false;
-  Writer out(kAttempt, id);
-  out.number(number).number(sent).number(zone);
-  if (!zone_name.empty()) out.text(zone_name);
-  const std::string& payload = out.payload();
+  RecordWriter record(kAttempt, id);
+  record.number(number).number(sent).number(zone);
+  if (!zone_name.empty()) record.text(zone_name);
+  const std::string& payload = record.payload();
   if (append(id, payload)) return true;
-  std::string& records = live_[place->second];  // the call does not start: a compaction must not tell of it
-  const size_t record = kHeader + payload.size();
-  records.resize(records.size() - record);
-  live_bytes_ -= record;
+  std::string& records = live_[place->second];  // the call does not start: a compaction must not write it
+  const size_t record_bytes = kHeaderBytes + payload.size();
+  records.resize(records.size() - record_bytes);
+  live_bytes_ -= record_bytes;
   return false;
 }
 
 void Journal::record_not_started(const std::string& id, int number) {
-  append(id, Writer(kNotStarted, id).number(number).payload());
+  append(id, RecordWriter(kNotStarted, id).number(number).payload());
 }
 
 bool Journal::record_final_answer(const FinalAnswer& answer) {
-  return append(answer.id,
-                Writer(kFinalAnswer, answer.id).number(answer.returned).number(answer.retry_after).payload());
+  return append(
+      answer.id,
+      RecordWriter(kFinalAnswer, answer.id).number(answer.returned).number(answer.retry_after).payload());
 }
 
 void Journal::record_acknowledged(const std::string& id) {
   const auto place = places_.find(id);
   if (place == places_.end()) return;
-  live_bytes_ -= live_[place->second].size() + kReserve;
+  live_bytes_ -= live_[place->second].size() + kReservedBytesPerMessage;
   live_.erase(place->second);
   places_.erase(place);
-  write(framed(Writer(kAcknowledged, id).payload()));
+  write(framed(RecordWriter(kAcknowledged, id).payload()));
 }
 
 bool Journal::append(const std::string& id, const std::string& payload) {
@@ -319,8 +322,8 @@
   return write(bytes);
 }
 
-// The live records already have what is written here, so a compaction writes it too; also what could not be
-// written before: the file stays incomplete until one succeeds.
+// Appends bytes that the live records already reflect, so a compaction covers them and whatever could not be
+// written before. After a failure the file stays incomplete until a compaction succeeds.
 bool Journal::write(std::string_view bytes) {
   if (incomplete_) return compact();
   if (size_ + bytes.size() > most_file_ && compact()) return true;
@@ -331,29 +334,31 @@
     size_ += bytes.size();
     return true;
   }
-  // Part of a record would hide all that follows it from the next start.
+  // A partial record would hide all records behind it from the next replay.
   if (::ftruncate(file_, static_cast<off_t>(size_)) != 0) return compact();
   return false;
 }
 
 bool Journal::compact() {
   std::string bytes;
-  for (const auto& [name, value] : remembered_) bytes += framed(Writer(kFact, name).text(value).payload());
+  for (const auto& [name, value] : remembered_)
+    bytes += framed(RecordWriter(kFact, name).text(value).payload());
   for (const auto& [place, records] : live_) bytes += records;
   if (bytes.size() > most_file_) return false;
-  const int fresh = ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  if (fresh < 0) return false;
-  // Facts that were on the disk must not leave it with the old file.
+  const int compacted_file =
+      ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
+  if (compacted_file < 0) return false;
+  // Synced facts must not leave the disk with the old file.
   const auto synced = remembered_.lower_bound(kSynced);
   const bool has_synced = synced != remembered_.end() && synced->first.starts_with(kSynced);
-  if (!write_all(fresh, bytes) || (has_synced && ::fdatasync(fresh) != 0) ||
+  if (!write_all(compacted_file, bytes) || (has_synced && ::fdatasync(compacted_file) != 0) ||
       ::rename(fresh_path_.c_str(), path_.c_str()) != 0) {
-    ::close(fresh);
+    ::close(compacted_file);
     ::unlink(fresh_path_.c_str());
     return false;
   }
   ::close(file_);
-  file_ = fresh;
+  file_ = compacted_file;
   size_ = bytes.size();
   incomplete_ = false;
   return true;
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -1,4 +1,5 @@
-// The accepted messages on disk: an append-only file of checksummed records that outlasts the process.
+// The relay's journal: an append-only file of checksummed records of messages and facts that outlasts the
+// process.
 #pragma once
 
 #include <filesystem>
@@ -12,59 +13,64 @@
 
 namespace turntally::relay {
 
-struct RecordedAttempt {  // an attempt that may have run
+// An attempt that may have run at its endpoint.
+struct RecordedAttempt {
   Time sent_at = 0;
-  int zone = 0;           // by its place in the settings of then
+  int zone = 0;           // index in the settings at that time
   std::string zone_name;  // empty: not recorded
 };
 
 struct Recovered {
   SubmittedMessage message;
-  Time deadline = 0;                            // by the DurableClock, as all times here
-  int attempts = 0;                             // one more than the last one's number
-  int begun = 0;                                // of these, those that began a call
-  std::map<int, RecordedAttempt> possibly_run;  // attempts that may have run
+  Time deadline = 0;                            // by the DurableClock, like all times in the journal
+  int attempts = 0;                             // the last attempt's number plus one
+  int begun = 0;                                // attempts that began a call
+  std::map<int, RecordedAttempt> possibly_run;  // by attempt number
   std::optional<FinalAnswer> unacknowledged_answer;
-  int64_t terms_number = 0;  // of its DeliveryTerms; 0: not recorded
+  int64_t terms_number = 0;  // number of its DeliveryTerms; 0: not recorded
 };
 
+// Owns the journal file of a state folder, and compacts it when it has grown too large.
 class Journal {
  public:
-  // Reads what is there, cuts a torn tail off and goes on behind it. Throws StateUnusable if the folder
-  // cannot be used.
+  // Opens or creates the file, replays its records and cuts off a torn record at the end. Throws
+  // StateUnusable if the file cannot be opened or read.
   Journal(const std::filesystem::path& folder, size_t disk_bytes);
   ~Journal();
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // In the order in which they were accepted.
+  // Returns the messages that were unfinished when the journal was opened, in the order of their acceptance.
   const std::vector<Recovered>& recovered() const { return recovered_; }
 
-  // What was remembered last under each name.
+  // Returns the current facts by name.
   const std::map<std::string, std::string>& remembered() const { return remembered_; }
 
-  // False: there is no room or it could not be written, and the message must not be accepted. `terms_number`:
-  // that of its DeliveryTerms.
+  // Returns false if there is no room or the write failed: the message must not be accepted. `terms_number`
+  // is the number of its DeliveryTerms.
   bool record_accepted(const SubmittedMessage& message, Time deadline, int64_t terms_number = 0);
-  // False: it could not be written, and the call must not start.
+  // Returns false if the record could not be written: the call must not start.
   bool record_attempt(const std::string& id, int number, Time sent, int zone,
                       const std::string& zone_name = {});
   void record_not_started(const std::string& id, int number);
-  // False: not written yet; write_pending() does it. Until then the next process knows nothing of the end.
+  // Returns false if the record is not written yet; write_pending() writes it. Until then the next process
+  // would not know that the message has ended.
   bool record_final_answer(const FinalAnswer& answer);
   void record_acknowledged(const std::string& id);
-  // Writes what a full disk did not take; false where there is still no room.
+  // Writes what could not be written earlier, on a full disk. Returns false if there is still no room.
   bool write_pending() { return !incomplete_ || compact(); }
-  // A fact beside the messages; the last value of a name counts, an empty one forgets it.
+  // Records a fact, which belongs to no message. Replaces the value of the same name; an empty value removes
+  // the fact.
   void remember(const std::string& name, const std::string& value);
-  // A fact, under kSynced + name, that outlasts the machine's end too: true once it is on the disk. False:
-  // not yet, and it must not be relied on; a later call with the same value tries again.
+  // Records a fact under kSyncedFactPrefix + name that also outlasts a crash of the machine. Returns true
+  // once it is on the disk. Until then it must not be relied on; a later call with the same value tries
+  // again.
   static constexpr const char* kSynced = "fence ";
   bool remember_synced(const std::string& name, const std::string& value);
 
  private:
   void replay();
-  void apply(std::string_view record, std::map<std::string, size_t>& places);
+  void apply(std::string_view record, std::map<std::string, size_t>& entry_indexes);
   void set_fact(const std::string& name, const std::string& value);
   bool append(const std::string& id, const std::string& payload);
   bool write(std::string_view bytes);
@@ -73,15 +79,15 @@
 
   std::filesystem::path path_;
   std::filesystem::path fresh_path_;
-  size_t most_file_;  // one file's size; while it is compacted there are two
+  size_t most_file_;  // of one file; there are two during a compaction
   int file_ = -1;
   size_t size_ = 0;
-  bool incomplete_ = false;  // something that stands in the live records could not be written
-  bool unsynced_ = true;  // facts that must outlast the machine may not be on the disk: not known at a start
+  bool incomplete_ = false;  // the file lacks some of the live records or facts
+  bool unsynced_ = true;     // synced facts may not be on the disk; unknown after opening
   size_t live_bytes_ = 0;
   uint64_t order_ = 0;
-  std::map<std::string, uint64_t> places_;  // live messages, in the order they came
-  std::map<uint64_t, std::string> live_;    // and their records as written
+  std::map<std::string, uint64_t> places_;  // order of acceptance of the live messages, by id
+  std::map<uint64_t, std::string> live_;    // records of the live messages as written, by order of acceptance
   std::vector<Recovered> recovered_;
   std::map<std::string, std::string> remembered_;
 };
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,4 +1,4 @@
-// Wiring, flags and signals.
+// The relay program: flags, signals and the event loop.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -20,7 +20,8 @@
   });
 }
 
-// A signal that comes while the process is ending already must not be what ends it: all is done by then.
+// Blocks the signals. Once the event loop has ended, a late signal must not kill the process, which has done
+// all its work.
 void block_signals() {
   sigset_t signals;
   ::sigemptyset(&signals);
@@ -33,7 +34,8 @@
 int main(int argc, char** argv) {
   using namespace turntally;
   CLI::App app(
-      "A message relay. All but the log's level is told by the environment: PROXY_CONFIG, PROXY_STATE.");
+      "A message relay. The environment names the configuration file (PROXY_CONFIG) and the state folder "
+      "(PROXY_STATE).");
   app.footer("Example: PROXY_CONFIG=config.json PROXY_STATE=state turntally-relay --log-level debug");
   std::string level = "info";
   app.add_option("--log-level", level, "debug (a line for each step of each message), info, warn or error");
@@ -53,7 +55,7 @@
     io.run();
     block_signals();
     return 0;
-  } catch (const net::Error& error) {  // one line, whatever reads it
+  } catch (const net::Error& error) {  // one line, as programs read it
     std::fprintf(stderr, "turntally-relay: %s (%s)\n", error.what(), error.action().c_str());
     return 1;
   } catch (const std::exception& error) {
--- a/relay/message.h
+++ b/relay/message.h
@@ -1,4 +1,4 @@
-// A message as a client submits it, and the final answer that may end it.
+// A message as submitted by a client, and the final answer that may end it.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +17,19 @@
   std::string message_class;
   std::string key;  // idempotency key; empty if none
   int destination = 0;
-  Time time_to_live = 0;  // how long it may still be delivered, in microseconds from its last byte
+  Time time_to_live = 0;  // microseconds from receipt of its last byte in which it may be delivered
   std::string body;
   std::string tenant;         // whose share of the traffic it counts against; empty if none
-  uint64_t ordering_key = 0;  // for classes in order: messages of one number go one at a time; 0: none
+  uint64_t ordering_key = 0;  // ordered classes send messages of one key one at a time; 0: none
 };
 
 struct FinalAnswer {
   std::string id;
-  bool returned = false;  // else failed
-  Time retry_after = 0;   // with returned: when to come again; 0: not given
+  bool returned = false;  // the client may submit it again; false: it failed
+  Time retry_after = 0;   // delay in microseconds before a returned message is submitted again; 0: not given
 };
 
-// Whether an attempt with this outcome certainly did not run at its endpoint.
+// Returns whether an attempt with this outcome certainly did not run at its endpoint.
 inline bool never_ran(policy::Outcome outcome) {
   return outcome == policy::Outcome::kRejected || outcome == policy::Outcome::kConnectFailed ||
          outcome == policy::Outcome::kNotStarted;
--- a/relay/message_ordering.cpp
+++ b/relay/message_ordering.cpp
@@ -5,8 +5,9 @@
 namespace turntally::relay {
 namespace {
 
-// Name of a fact in the journal, followed by the ordering key; its value is when the hold ends.
-const std::string kHoldFact = "rest ";
+// Prefix of a fact's name in the journal, followed by the ordering key. The value is the time at which the
+// hold ends.
+const std::string kHoldFactPrefix = "rest ";
 
 struct RecordedHold {
   std::string fact;
@@ -17,8 +18,10 @@
 std::vector<RecordedHold> recorded_holds(const Journal& journal) {
   std::vector<RecordedHold> holds;
   const auto& facts = journal.remembered();
-  for (auto it = facts.lower_bound(kHoldFact); it != facts.end() && it->first.starts_with(kHoldFact); ++it) {
-    holds.push_back({it->first, std::stoull(it->first.substr(kHoldFact.size())), std::stoll(it->second)});
+  for (auto it = facts.lower_bound(kHoldFactPrefix);
+       it != facts.end() && it->first.starts_with(kHoldFactPrefix); ++it) {
+    holds.push_back(
+        {it->first, std::stoull(it->first.substr(kHoldFactPrefix.size())), std::stoll(it->second)});
   }
   return holds;
 }
@@ -35,7 +38,7 @@
   for (const RecordedHold& hold : recorded_holds(journal_)) {
     if (hold.until <= now) journal_.remember(hold.fact, "");
   }
-  journal_.remember(kHoldFact + std::to_string(ordering_key), std::to_string(now + pause));
+  journal_.remember(kHoldFactPrefix + std::to_string(ordering_key), std::to_string(now + pause));
 }
 
 std::vector<uint64_t> MessageOrdering::held_back_keys() const {
--- a/relay/message_ordering.h
+++ b/relay/message_ordering.h
@@ -1,5 +1,5 @@
-// The order of messages with one key, beyond what the policy knows: across restarts and until a client has
-// taken a final answer.
+// Ordering of messages with the same key beyond what the policy tracks: across restarts, and until a client
+// has acknowledged a final answer.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,26 @@
 
 namespace turntally::relay {
 
-// Records which ordering keys must wait. A key waits for the acknowledgement of the final answer of an
-// earlier message, and after a call that may still run at its endpoint (a hold, for
-// Settings::ordering_pause). Owns: the unacknowledged final answers of ordered messages. Holds are facts of
-// the journal, as the next process must respect them; in this process the policy does. Units: microseconds;
-// holds end by the DurableClock.
+// Tracks the ordering keys that must wait. A key waits until the final answer of an earlier message is
+// acknowledged, and for Settings::ordering_pause after a call that may still run at its endpoint (a hold).
+// Owns the ids of ordered messages with an unacknowledged final answer. Holds are journal facts because the
+// next process must respect them; in this process the policy does. Times are microseconds; holds end by the
+// DurableClock.
 class MessageOrdering {
  public:
   MessageOrdering(Journal& journal, const DurableClock& clock) : journal_(journal), clock_(clock) {}
 
-  // A final answer of an ordered message is published, or its client has taken it.
+  // Record that an ordered message's final answer was published, or that it was acknowledged.
   void add_unacknowledged(const std::string& id, uint64_t ordering_key) {
     unacknowledged_[id] = ordering_key;
   }
   void acknowledge(const std::string& id) { unacknowledged_.erase(id); }
   bool awaits_acknowledgement(uint64_t ordering_key) const;
 
-  // Holds the key back for `pause` from now, and forgets the holds that have ended.
+  // Holds the key for `pause` from now, and removes holds that have ended from the journal.
   void hold(uint64_t ordering_key, Time pause);
 
-  // The keys with a hold that has not ended, in the order of the journal.
+  // Returns the keys with a hold that has not ended, in the order of the journal's facts.
   std::vector<uint64_t> held_back_keys() const;
 
  private:
--- a/relay/pending_messages.h
+++ b/relay/pending_messages.h
@@ -1,4 +1,4 @@
-// The messages that this process has and that have not ended.
+// The relay's table of messages that have not ended.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
   SubmittedMessage submitted;
   Time deadline = 0;         // microseconds of the steady clock
   int attempts = 0;          // the number of the next attempt
-  bool accepted = false;     // its record is in the journal
-  int64_t terms_number = 0;  // of its DeliveryTerms; 0: not recorded
+  bool accepted = false;     // the journal has its record
+  int64_t terms_number = 0;  // number of its DeliveryTerms; 0: not recorded
 };
 
-// Owns the messages and the numbers under which the policy knows them. Numbers rise and are never used twice.
-// Invariant: no two messages have the same id. A message's address holds until it is erased.
+// Owns the messages and the numbers that identify them to the policy. Numbers increase and are never reused.
+// Invariant: no two messages have the same id. A message's address stays valid until it is erased.
 class PendingMessages {
  public:
   uint64_t next_number() { return ++last_number_; }
@@ -28,7 +28,7 @@
   PendingMessage& add(uint64_t number, PendingMessage message);
   void erase(uint64_t number);
 
-  // Null: there is none, or it has ended.
+  // Return null or nullopt if there is no such message or it has ended.
   PendingMessage* find(uint64_t number);
   const PendingMessage* find(uint64_t number) const;
   std::optional<uint64_t> number_of(const std::string& id) const;
--- a/relay/put_command.cpp
+++ b/relay/put_command.cpp
@@ -10,18 +10,19 @@
 namespace turntally::relay {
 namespace {
 
-constexpr size_t kMaxNameLength = 128;                     // ids, keys, class and tenant names
-constexpr Time kMaxTimeToLiveMs = Time{24} * 3600 * 1000;  // milliseconds
+constexpr size_t kMaxNameLength = 128;  // bytes of an id, a key, or the name of a class or tenant
+constexpr Time kMaxTimeToLiveMs = Time{24} * 3600 * 1000;
 
-// Ids and keys become header lines and journal records: nothing that could break one passes.
+// Ids and keys become header lines and journal records, so only visible ASCII characters without spaces are
+// allowed.
 bool is_name(std::string_view text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isgraph(c) != 0; });
 }
 
-// Names of classes and tenants are the settings' own: any letters, and spaces. They never become header
-// lines.
-bool is_title(std::string_view text) {
+// Names of classes and tenants come from the settings and may contain anything but control characters. They
+// never become header lines.
+bool is_display_name(std::string_view text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
          std::none_of(text.begin(), text.end(), [](unsigned char c) { return std::iscntrl(c) != 0; });
 }
@@ -35,7 +36,8 @@
   return value;
 }
 
-// The ordering key, from the command's key: sixteen hexadecimal digits, zeros for nothing.
+// Returns the ordering key for the command's key: the value of its up to sixteen hexadecimal digits (0:
+// none), or the hash of any other text.
 uint64_t parse_ordering_key(const std::string& key) {
   uint64_t ordering_key = 0;
   const auto [end, error] = std::from_chars(key.data(), key.data() + key.size(), ordering_key, 16);
@@ -43,7 +45,7 @@
                                                                 : std::hash<std::string>{}(key);
 }
 
-// One field of the command's list. Unknown names are skipped.
+// Sets one field of the command's list. Ignores unknown names.
 void set_field(SubmittedMessage& message, std::string_view name, std::string_view value) {
   if (name == "c") message.message_class = value;
   if (name == "t") message.tenant = value;
@@ -63,8 +65,9 @@
 }
 
 void validate(const SubmittedMessage& message) {
-  if (!is_title(message.message_class)) throw std::invalid_argument("unreadable class");
-  if (!message.tenant.empty() && !is_title(message.tenant)) throw std::invalid_argument("unreadable tenant");
+  if (!is_display_name(message.message_class)) throw std::invalid_argument("unreadable class");
+  if (!message.tenant.empty() && !is_display_name(message.tenant))
+    throw std::invalid_argument("unreadable tenant");
   if (!message.key.empty() && !is_name(message.key))
     throw std::invalid_argument("unreadable idempotency key");
   if (message.time_to_live < 0) throw std::invalid_argument("no d");
--- a/relay/put_command.h
+++ b/relay/put_command.h
@@ -1,4 +1,4 @@
-// The command MSG.PUT of clients.
+// Parsing of the client command MSG.PUT.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace turntally::relay {
 
-// Reads the words of MSG.PUT. Throws std::invalid_argument with a line for the client.
+// Parses the words of MSG.PUT. Throws std::invalid_argument with the text of the reply to the client.
 SubmittedMessage parse_put(const std::vector<std::string>& words);
 
 }  // namespace turntally::relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -13,41 +13,42 @@
 namespace {
 
 constexpr Time kMs = 1000;
-constexpr Time kServeOn = 500 * kMs;       // after SIGTERM: new connections still come for a while
-constexpr Time kCallsEnd = 3500 * kMs;     // SIGKILL follows 3.7 s after SIGTERM at the soonest
-constexpr Time kProcessEnds = 3600 * kMs;  // by then it has ended
-constexpr Time kStopPoll = 50 * kMs;
-constexpr Time kLastStopPoll = 2 * kMs;
-constexpr auto kListenRetryPause = std::chrono::milliseconds(20);
-constexpr Time kFirstListWait = 300 * kMs;  // discovery answers at once, unless it is down
+constexpr Time kServeAfterStop = 500 * kMs;      // new connections still arrive for a while after SIGTERM
+constexpr Time kCallsEndAfterStop = 3500 * kMs;  // SIGKILL follows 3.7 s after SIGTERM at the soonest
+constexpr Time kExitAfterStop = 3600 * kMs;      // latest exit
+constexpr Time kStopPollInterval = 50 * kMs;
+constexpr Time kFinalStopPollInterval = 2 * kMs;
+constexpr auto kListenRetryDelay = std::chrono::milliseconds(20);
+constexpr Time kFirstListTimeout = 300 * kMs;  // discovery answers at once, unless it is down
 
 DurableClock clock_of(const Journal& journal) {
   const auto stored = journal.remembered().find(fact::kClock);
   return {DurableClock::read_machine(), stored == journal.remembered().end() ? "" : stored->second};
 }
 
-// -1: it is not among them.
+// Returns the index of the name, or -1 if it is not among the names.
 int index_of(const std::string& name, const std::vector<std::string>& names) {
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? -1 : static_cast<int>(found - names.begin());
 }
 
-// Where each zone of before stands in the new order.
-std::vector<int> map_zones(const std::vector<std::string>& before, const std::vector<std::string>& next) {
+// Returns the new index of each previous zone, or -1 for a zone that is gone.
+std::vector<int> map_zones(const std::vector<std::string>& previous, const std::vector<std::string>& next) {
   std::vector<int> zones;
-  zones.reserve(before.size());
-  for (const std::string& zone : before) zones.push_back(index_of(zone, next));
+  zones.reserve(previous.size());
+  for (const std::string& zone : previous) zones.push_back(index_of(zone, next));
   return zones;
 }
 
-int mapped_zone(const std::vector<int>& zones, int before) {
-  return before >= 0 && before < static_cast<int>(zones.size()) ? zones[static_cast<size_t>(before)] : -1;
+int mapped_zone(const std::vector<int>& zones, int previous) {
+  return previous >= 0 && previous < static_cast<int>(zones.size()) ? zones[static_cast<size_t>(previous)]
+                                                                    : -1;
 }
 
 }  // namespace
 
 Relay::Relay(boost::asio::io_context& io, const Config& config,
-             std::function<void(const tcp::endpoint&)> listening)
+             std::function<void(const tcp::endpoint&)> on_listening)
     : io_(io),
       config_(config),
       control_(config.control
@@ -77,7 +78,7 @@
             queue_event(end);
             on_endpoint_idle(end.endpoint);
           }),
-      listening_(std::move(listening)),
+      listening_(std::move(on_listening)),
       open_timer_(io) {
   if (!config.fleet) {
     watch_.emplace(
@@ -93,14 +94,15 @@
   if (config.fleet) follow_registry();
   if (handover_.taken_over()) take_over();
   handover_.await_successor([this] { hand_over(); });
-  // The predecessor has followed discovery up to now, and clients wait.
-  open_timer_.expires_after(std::chrono::microseconds(handover_.taken_over() ? 0 : kFirstListWait));
+  // After a handover clients are waiting, and the predecessor has followed discovery up to now.
+  open_timer_.expires_after(std::chrono::microseconds(handover_.taken_over() ? 0 : kFirstListTimeout));
   open_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) open();
   });
 }
 
-// Messages are accepted and recovered only now: discovery has sent the list that it had.
+// Recovers the messages and starts to accept new ones. Runs once discovery has sent its current list, or
+// after kFirstListTimeout.
 void Relay::open() {
   if (clients_ || stopping_since_ != 0 || handed_over_) return;
   if (!std::exchange(recovered_, true)) recover_messages();
@@ -111,8 +113,8 @@
   listening_(clients_->address());
 }
 
-// Whether the listener is open. A predecessor whose listener did not come over may hold the address for a
-// moment longer: then it is tried again.
+// Opens the listener and returns whether it is open. A predecessor that did not hand its listener over may
+// hold the address for a moment longer; until listen_retry_deadline_ a failure schedules another try.
 bool Relay::open_clients() {
   try {
     clients_.emplace(
@@ -125,7 +127,7 @@
   } catch (const net::CannotListen&) {
     if (steady_now() >= listen_by_) throw;
   }
-  open_timer_.expires_after(kListenRetryPause);
+  open_timer_.expires_after(kListenRetryDelay);
   open_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) open();
   });
@@ -152,7 +154,7 @@
     net::log::info("reloaded");
   } catch (const net::Error& error) {
     rejected(error);
-  } catch (const std::exception& error) {  // of the policy: nothing that a file has may end the process
+  } catch (const std::exception& error) {  // from the policy: no content of the file may end the process
     rejected(BadConfig(error.what()));
   }
 }
@@ -190,8 +192,9 @@
     last_excess_ = messages_.last_number();
 }
 
-// A lower cap is for what comes: messages accepted under a greater one are still tried, and the policy
-// rejects nothing for want of room until it fits well.
+// Returns the settings for the policy. A lowered max_pending_messages applies to new messages only: those
+// accepted under a higher one are still tried. Until they fit with room to spare, the policy's limit is
+// raised so that it rejects none of them for lack of room.
 std::shared_ptr<policy::Settings> Relay::policy_settings() const {
   auto settings = std::make_shared<policy::Settings>(config_.settings);
   if (last_excess_ != 0) {
@@ -205,13 +208,13 @@
   if (stopping_since_ != 0) return;
   stopping_since_ = steady_now();
   net::log::info("stopping", "held", messages_.size(), "handed_over", handed_over_ ? 1 : 0);
-  if (handed_over_) return;  // it ends as soon as it can
+  if (handed_over_) return;  // poll_shutdown() already ends the process as soon as possible
   queue_event(policy::ShutdownScheduled{calls_end_by()});
   wait_for_end();
 }
 
 Time Relay::calls_end_by() const {
-  return stopping_since_ == 0 ? std::numeric_limits<Time>::max() : stopping_since_ + kCallsEnd;
+  return stopping_since_ == 0 ? std::numeric_limits<Time>::max() : stopping_since_ + kCallsEndAfterStop;
 }
 
 bool Relay::handed_over_and_done() const {
@@ -234,15 +237,16 @@
   if (handed_over_ && !handover_.has_successor()) cancel_all_calls();
   if (handed_over_and_done()) return io_.stop();
   const Time age = stopping_since_ == 0 ? 0 : steady_now() - stopping_since_;
-  if (age >= kServeOn && !handed_over_) finish_clients();
+  if (age >= kServeAfterStop && !handed_over_) finish_clients();
   if (clients_finished_ && idle()) return io_.stop();
-  const bool calls_ended = age >= kCallsEnd;
-  if (calls_ended) {  // a request that was read has its answer
+  const bool calls_ended = age >= kCallsEndAfterStop;
+  if (calls_ended) {  // a request that has been read still gets its reply
     if (clients_) clients_->read_no_more();
     const bool answered = !step_posted_ && (!clients_ || clients_->answered());
-    if (answered || age >= kProcessEnds) return io_.stop();
+    if (answered || age >= kExitAfterStop) return io_.stop();
   }
-  stop_timer_.expires_after(std::chrono::microseconds(calls_ended ? kLastStopPoll : kStopPoll));
+  stop_timer_.expires_after(
+      std::chrono::microseconds(calls_ended ? kFinalStopPollInterval : kStopPollInterval));
   stop_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) wait_for_end();
   });
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -1,5 +1,5 @@
-// The relay: the only owner of the decision module. Collects events, lets the policy decide once a turn of
-// the event loop, and carries its actions out.
+// The relay's core. It owns the policy library: it queues events, runs one policy step per turn of the event
+// loop and carries out the actions that the step returns.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -33,51 +33,56 @@
 
 namespace turntally::relay {
 
-// Times are microseconds: of the steady clock in this process, of the DurableClock in the journal.
-// Invariants: a message is accepted only with its record in the journal, and a call starts only with its
-// attempt's record there. After a hand-over nothing is written and the policy decides no more.
+// Accepts messages from clients, journals them and has them delivered as the policy decides. Runs on the
+// thread of the io_context.
+// Times are in microseconds: of the steady clock in memory, of the DurableClock in the journal.
+// Invariants: a message is accepted only once its record is in the journal, and a call starts only once the
+// record of its attempt is there. After a handover the relay neither writes to the journal nor runs the
+// policy.
 // The methods are defined by concern: relay.cpp (lifecycle, reload, shutdown), relay_endpoints.cpp,
 // relay_recovery.cpp, relay_submission.cpp, relay_dispatch.cpp, relay_handover.cpp, relay_operators.cpp.
 class Relay {
  public:
-  // Reads the journal, follows discovery if it answers, then opens the listener and calls `listening` with
-  // its address. Throws std::exception where it cannot serve.
+  // Recovers from the journal and starts to follow discovery or the registry. Later, once a list has come or
+  // discovery has not answered in time, opens the listener and calls `on_listening` with its address. Throws
+  // std::exception if it cannot serve.
   Relay(boost::asio::io_context& io, const Config& config,
-        std::function<void(const tcp::endpoint&)> listening);
+        std::function<void(const tcp::endpoint&)> on_listening);
 
-  // Takes the new configuration's discovery and settings over; the rest of it applies from the next start on.
-  // Where it cannot be read, or something in it is missing or out of range, all stays as it was.
+  // Reads the configuration file again and applies its discovery address and its settings; the rest takes
+  // effect at the next start. If the file is unreadable, or a key is missing or out of range, nothing
+  // changes.
   void reload();
 
-  // Planned end: serves a little longer, lets calls finish, and stops the event loop.
+  // Starts a graceful shutdown: keeps serving for a short time, lets calls finish, then stops the event loop.
   void stop();
 
-  // Where operators call, if anywhere.
+  // Returns the address for operator requests, or nullopt if none is configured.
   std::optional<tcp::endpoint> control_address() const;
 
  private:
-  // A message of the process before.
+  // A message from the journal, with the terms under which it was accepted.
   struct RecoveredMessage {
     policy::MessageArrived arrival;
     DeliveryTerms terms;
   };
 
-  // What the recovery tells the policy, in this order.
+  // The events that recovery queues for the policy, in this order.
   struct Recovery {
     std::vector<RecoveredMessage> arrivals;
     std::vector<policy::AttemptEnded> ends;
   };
 
-  // A message's attempt in a call that the predecessor still has in flight.
+  // An attempt in a call that the predecessor still has in flight.
   struct InheritedAttempt {
-    uint64_t number = 0;  // of the message; 0: it was not recovered yet
+    uint64_t number = 0;  // 0: the message is not recovered yet
     int attempt = 0;
     policy::MessageArrived::InFlightCall call;
-    // Its endpoint is not listed any more: the policy learns of the message once the call has ended.
+    // Set if the endpoint is no longer listed: the policy receives the message once the call has ended.
     std::optional<RecoveredMessage> deferred;
   };
 
-  // A message submitted during this turn, which the policy has not decided on yet.
+  // A submission of this turn on which the policy has not decided yet.
   struct Submission {
     uint64_t number = 0;
     Clients::Answer answer;
@@ -99,7 +104,7 @@
   void follow_registry();
   void on_registry_list(const nlohmann::json& line);
   void on_endpoint_list(const HostList& list);
-  void record_endpoint(const ListedHost& host);
+  void record_endpoint(const ListedHost& listed);
   void forget_gone(const Endpoint& endpoint);
   void on_endpoint_idle(const Endpoint& endpoint);
   Route route_of(const policy::EndpointInfo& endpoint) const;
@@ -119,7 +124,7 @@
   int zone_of(const RecordedAttempt& attempt) const;
   void persist(const policy::DestinationState& state);
 
-  // Submission of messages, and their terms and order: relay_submission.cpp.
+  // Submission, delivery terms and ordering of messages: relay_submission.cpp.
   void accept_message(SubmittedMessage message, Clients::Answer answer);
   std::optional<std::string> rejection(const SubmittedMessage& message);
   void submit(SubmittedMessage message, Clients::Answer answer);
@@ -149,7 +154,7 @@
   void record_attempt_end(const policy::AttemptEnded& end, bool call_started, const PendingMessage& message);
   void finish(uint64_t number, std::optional<FinalAnswer> answer);
 
-  // Hand-over from the predecessor and to the successor: relay_handover.cpp.
+  // Handover from the predecessor and to the successor: relay_handover.cpp.
   void take_over();
   void take_listener(HandoverFrame frame);
   void take_call(const InFlightCallFrame& call);
@@ -168,7 +173,7 @@
   void pass_on(const std::string& id, const policy::AttemptEnded& end, bool call_started);
   void cancel_all_calls();
 
-  // Operators' calls: relay_operators.cpp.
+  // Operator requests: relay_operators.cpp.
   OperatorReply operate(const OperatorCall& call);
   OperatorReply readiness() const;
   OperatorReply set_draining(bool draining);
@@ -180,14 +185,15 @@
   Config config_;
   RetiredClasses retired_classes_;
   Directory directory_;
-  std::unique_ptr<Control> control_;  // before the folder is taken over: its address may not be free
+  // Constructed before handover_, so that a taken address fails before the folder is taken over.
+  std::unique_ptr<Control> control_;
   Handover handover_;
-  bool handed_over_ = false;  // all but the calls in flight is another process's
+  bool handed_over_ = false;  // the successor owns all but the calls in flight
   std::map<std::string, InheritedAttempt> inherited_attempts_;  // by message id
   uint64_t inherited_calls_ = 0;
-  Descriptor listener_;  // of the predecessor
+  Descriptor listener_;  // the predecessor's, until clients_ uses it
   Journal journal_;
-  DurableClock clock_;  // of all times in the journal
+  DurableClock clock_;  // for all times in the journal
   DeliveryTermsStore delivery_terms_;
   MessageOrdering ordering_;
   FencingTokens fencing_tokens_;
@@ -196,12 +202,12 @@
   std::vector<Submission> submissions_;
   bool step_posted_ = false;
   PendingMessages messages_;
-  uint64_t last_excess_ = 0;  // up to this number they were accepted under a greater cap; 0: none
+  uint64_t last_excess_ = 0;  // last message accepted under a higher max_pending_messages; 0: none
   RouteWaits route_waits_;
   CallBatches batches_;
-  std::map<Endpoint, int> in_flight_;  // calls and health checks
-  Time wake_at_ = 0;                   // when the policy wants its next step; 0: never
-  Time timer_set_for_ = 0;             // 0: not set
+  std::map<Endpoint, int> in_flight_;  // attempts and health checks
+  Time wake_at_ = 0;                   // time of the step that the policy asked for; 0: none
+  Time timer_set_for_ = 0;             // expiry of wake_timer_; 0: not set
   boost::asio::steady_timer wake_timer_;
   boost::asio::steady_timer stop_timer_;
   Time stopping_since_ = 0;  // 0: not stopping
@@ -209,16 +215,16 @@
   Notices notices_;
   FinalAnswerPublisher final_answers_;
   Upstream upstream_;
-  std::optional<Watch> watch_;                      // on discovery; or
-  std::optional<registry::ListFollower> follower_;  // of the registry
-  std::string list_identity_;                       // of the registry's list; empty: it is discovery's
+  std::optional<Watch> watch_;                      // set if discovery sends the list
+  std::optional<registry::ListFollower> follower_;  // set if the registry sends the list
+  std::string list_identity_;                       // of the registry's list; empty: the list is discovery's
   std::function<void(const tcp::endpoint&)> listening_;
   boost::asio::steady_timer open_timer_;
-  bool recovered_ = false;          // the messages of before
-  Time listen_by_ = 0;              // until then the address may still be the predecessor's
-  std::optional<Clients> clients_;  // once the messages of before are recovered
+  bool recovered_ = false;          // recover_messages() has run
+  Time listen_by_ = 0;              // until then the predecessor may still hold the address
+  std::optional<Clients> clients_;  // set once messages are recovered and the listener is open
   bool draining_ = false;
-  Metrics metrics_;  // what is counted here; the rest is looked up
+  Metrics metrics_;  // the relay's own counters; metrics() adds the rest
 };
 
 }  // namespace turntally::relay
--- a/relay/relay_dispatch.cpp
+++ b/relay/relay_dispatch.cpp
@@ -1,4 +1,5 @@
-// The relay's turns: the policy decides, and its actions are carried out; calls start and end.
+// The relay's dispatch: runs the policy once per turn of the event loop, carries out its actions, and handles
+// the starts and ends of calls.
 #include <algorithm>
 #include <array>
 #include <boost/asio/post.hpp>
@@ -12,20 +13,20 @@
 
 constexpr Time kMs = 1000;
 
-// Names of outcomes in the log.
+// Returns the name of an outcome in the log.
 const char* log_name(policy::Outcome outcome) {
   constexpr std::array<const char*, 9> kNames = {"ok",    "error",     "full", "timeout", "connect_failed",
                                                  "reset", "cancelled", "moot", "spoilt"};
   return kNames[static_cast<size_t>(outcome)];
 }
 
-// What the log says became of a message.
+// Returns the log's name for the way in which a message ended; without a final answer it is settled.
 const char* log_state(const std::optional<FinalAnswer>& answer) {
   if (!answer) return "settled";
   return answer->returned ? "returned" : "failed";
 }
 
-// The call may still run at its endpoint.
+// Returns whether a call with this outcome may still run at its endpoint.
 bool may_still_run(policy::Outcome outcome) {
   return outcome == policy::Outcome::kTimeout || outcome == policy::Outcome::kReset ||
          outcome == policy::Outcome::kCancelled || outcome == policy::Outcome::kMalformedResponse;
@@ -82,7 +83,7 @@
   } else if (const auto* close = std::get_if<policy::CloseIdleConnections>(&action)) {
     upstream_.close_idle(close->endpoint);
   } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
-    wake_at_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
+    wake_at_ = timer->at;  // each step that needs a timer sets it, so only the latest counts
   } else if (const auto* persist_state = std::get_if<policy::PersistDestinationState>(&action)) {
     persist(persist_state->state);
   } else if (const auto* log = std::get_if<policy::Log>(&action)) {
@@ -92,13 +93,13 @@
 
 void Relay::send_attempt(const policy::SendAttempt& action) {
   PendingMessage* message = messages_.find(action.id);
-  const ListedHost* host = directory_.find(action.endpoint);
-  if (message == nullptr || host == nullptr) return attempt_not_started(action, message);
+  const ListedHost* listed = directory_.find(action.endpoint);
+  if (message == nullptr || listed == nullptr) return attempt_not_started(action, message);
   Call call;
   call.id = action.id;
   call.endpoint = action.endpoint;
   call.attempt = message->attempts++;
-  call.address = host->address;
+  call.address = listed->address;
   call.call_id = message->submitted.id;
   call.key = message->submitted.key;
   call.body = message->submitted.body;
@@ -106,10 +107,11 @@
   call.start_by = action.latest_start;
   call.last = steady_now() + action.timeout >= message->deadline;
   ++in_flight_[call.endpoint];
-  add_to_batch(std::move(call), host->member.kind);
+  add_to_batch(std::move(call), listed->member.kind);
 }
 
-// Its endpoint is forgotten, or the message was rejected in this very turn for want of room.
+// Reports an attempt that did not start: its endpoint is forgotten, or the message was rejected in this turn
+// for lack of room.
 void Relay::attempt_not_started(const policy::SendAttempt& action, PendingMessage* message) {
   policy::AttemptEnded end;
   end.id = action.id;
@@ -129,14 +131,15 @@
 }
 
 void Relay::send_health_check(const policy::SendHealthCheck& action) {
-  const ListedHost* host = directory_.find(action.endpoint);
-  if (host == nullptr) return queue_event(policy::HealthCheckEnded{action.endpoint, false, 0, {}});
+  const ListedHost* listed = directory_.find(action.endpoint);
+  if (listed == nullptr) return queue_event(policy::HealthCheckEnded{action.endpoint, false, 0, {}});
   ++in_flight_[action.endpoint];
-  upstream_.check_health(action.endpoint, host->address);
+  upstream_.check_health(action.endpoint, listed->address);
 }
 
-// What goes to one endpoint in one turn travels as one call where its kind allows it: the policy counts on
-// that one slot and one place under the endpoint's limit.
+// Adds the message to its endpoint's batch if the endpoint's kind allows batches. The policy relies on this:
+// it counts all messages that go to an endpoint in one turn as one call, against its limits on concurrent
+// calls and on the endpoint.
 void Relay::add_to_batch(Call call, int kind) {
   const auto& kinds = config_.settings.kinds;
   const size_t max_messages =
@@ -146,8 +149,8 @@
   if (!full.empty()) start_call(std::move(full));
 }
 
-// The message that lives longest goes first: an endpoint has the time of the first, and an answer
-// after it counts for none of them, though others have time left.
+// Starts a call with its messages by descending deadline. The first message's timeout is the endpoint's time
+// for the whole call; a response after it counts for no message, even for one with time left.
 void Relay::start_call(std::vector<Call> batch) {
   std::stable_sort(batch.begin(), batch.end(), [this](const Call& a, const Call& b) {
     return messages_.find(a.id)->deadline > messages_.find(b.id)->deadline;
@@ -155,21 +158,22 @@
   upstream_.call(std::move(batch));
 }
 
-// The last look before a call's first byte. While its connection came up the endpoint may have been drained,
-// a call to its destination may have returned a Retry-After, or the message may be over.
+// Returns whether an attempt may start, right before its call's first byte, and records it in the journal.
+// While the connection was being opened the endpoint may have been drained, a call to its destination may
+// have returned Retry-After, or the message may have ended.
 bool Relay::may_start(const Call& call) {
   const PendingMessage* message = messages_.find(call.id);
   const Time now = steady_now();
   if (handed_over_ || message == nullptr || !directory_.active(call.endpoint) || now > call.start_by)
     return false;
-  const ListedHost* host = directory_.find(call.endpoint);
-  if (route_waits_.waits(route_of(host->member), now)) return false;
+  const ListedHost* listed = directory_.find(call.endpoint);
+  if (route_waits_.waits(route_of(listed->member), now)) return false;
   if (!is_next_in_order(*message)) return false;
   net::log::debug("call", "id", message->submitted.id, "attempt", call.attempt, "destination",
-                  message->submitted.destination, "host", host->id, "timeout_ms", call.timeout / kMs);
-  const auto zone = static_cast<size_t>(host->member.zone);
+                  message->submitted.destination, "host", listed->id, "timeout_ms", call.timeout / kMs);
+  const auto zone = static_cast<size_t>(listed->member.zone);
   const auto& zones = config_.names.zones;
-  return journal_.record_attempt(message->submitted.id, call.attempt, clock_.now(), host->member.zone,
+  return journal_.record_attempt(message->submitted.id, call.attempt, clock_.now(), listed->member.zone,
                                  zone < zones.size() ? zones[zone] : "");
 }
 
@@ -187,23 +191,24 @@
   on_endpoint_idle(end.endpoint);
 }
 
-// The Retry-After of an endpoint that is listed no more is for its destination; where endpoints are
-// independent, for a route that is gone.
+// Extends a route's wait by the attempt's Retry-After. That of an endpoint that is no longer listed applies
+// to its destination; if endpoints are independent, such a wait has no effect, as the endpoint's route is
+// gone.
 void Relay::note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message) {
   if (end.retry_after <= 0) return;
-  const ListedHost* host = directory_.find(end.endpoint);
-  if (host == nullptr && message == nullptr) return;
+  const ListedHost* listed = directory_.find(end.endpoint);
+  if (listed == nullptr && message == nullptr) return;
   const Route route =
-      host != nullptr ? route_of(host->member) : Route{message->submitted.destination, Endpoint{}};
+      listed != nullptr ? route_of(listed->member) : Route{message->submitted.destination, Endpoint{}};
   route_waits_.extend(route, steady_now() + end.retry_after);
 }
 
 void Relay::record_attempt_end(const policy::AttemptEnded& end, bool call_started,
                                const PendingMessage& message) {
   const SubmittedMessage& submitted = message.submitted;
-  const ListedHost* host = directory_.find(end.endpoint);
+  const ListedHost* listed = directory_.find(end.endpoint);
   net::log::debug("call_ended", "id", submitted.id, "attempt", end.attempt, "destination",
-                  submitted.destination, "host", host == nullptr ? "" : host->id.c_str(), "outcome",
+                  submitted.destination, "host", listed == nullptr ? "" : listed->id.c_str(), "outcome",
                   log_name(end.outcome), "took_ms", end.latency / kMs, "wait_ms", end.retry_after / kMs,
                   "final", static_cast<int>(end.final));
   if (may_still_run(end.outcome) && needs_hold(terms_of(message), submitted.ordering_key))
@@ -216,7 +221,7 @@
   }
 }
 
-// The message is over; with an answer, that is still to be acknowledged.
+// Ends a message. A final answer, if there is one, remains to be acknowledged.
 void Relay::finish(uint64_t number, std::optional<FinalAnswer> answer) {
   const PendingMessage& message = *messages_.find(number);
   const SubmittedMessage& submitted = message.submitted;
--- a/relay/relay_endpoints.cpp
+++ b/relay/relay_endpoints.cpp
@@ -1,4 +1,4 @@
-// The relay's list of endpoints: what discovery or the registry sends, and when an endpoint is forgotten.
+// The relay's list of endpoints: applies what discovery or the registry sends, and forgets removed endpoints.
 #include <nlohmann/json.hpp>
 
 #include "net/log.h"
@@ -7,11 +7,12 @@
 
 namespace turntally::relay {
 
-// What is known so far is what the follower's guard begins from.
+// Starts to follow the registry's list. The follower's guard starts from the endpoints that are known so far.
 void Relay::follow_registry() {
   nlohmann::json members = nlohmann::json::array();
-  for (const auto& [handle, host] : directory_.hosts()) {
-    if (host.member.listing != policy::Listing::kGone) members.push_back(nlohmann::json::parse(host.text));
+  for (const auto& [handle, listed] : directory_.hosts()) {
+    if (listed.member.listing != policy::Listing::kGone)
+      members.push_back(nlohmann::json::parse(listed.text));
   }
   registry::ListFollower::Listener listener;
   listener.on_list = [this](const nlohmann::json& line) { on_registry_list(line); };
@@ -47,9 +48,9 @@
   net::log::debug("list", "revision", directory_.revision(), "changed", endpoints->size());
   queue_event(std::move(*change));
   for (const policy::EndpointInfo& info : *endpoints) {
-    const ListedHost* host = directory_.find(info.endpoint);
-    if (host != nullptr) record_endpoint(*host);
-    if (host != nullptr && directory_.suspended(host->id))
+    const ListedHost* listed = directory_.find(info.endpoint);
+    if (listed != nullptr) record_endpoint(*listed);
+    if (listed != nullptr && directory_.suspended(listed->id))
       queue_event(policy::EndpointSuspended{info.endpoint, true});
     forget_gone(info.endpoint);
   }
@@ -59,17 +60,17 @@
   route_waits_.forget_ended(steady_now());
 }
 
-void Relay::record_endpoint(const ListedHost& host) {
-  const bool gone = host.member.listing == policy::Listing::kGone;
-  journal_.remember(fact::kHost + host.id, gone ? "" : host.text);
-  journal_.remember(fact::kGone + host.id, gone ? std::to_string(directory_.gone().at(host.id)) : "");
+void Relay::record_endpoint(const ListedHost& listed) {
+  const bool gone = listed.member.listing == policy::Listing::kGone;
+  journal_.remember(fact::kHost + listed.id, gone ? "" : listed.text);
+  journal_.remember(fact::kGone + listed.id, gone ? std::to_string(directory_.gone().at(listed.id)) : "");
 }
 
-// Its connections are of no use, and a machine that takes its address over must not get them. It is known
-// until its last call has ended.
+// If the endpoint has been removed from the list, closes its idle connections, which must not be used for
+// another machine at the same address, and forgets it once its last call has ended.
 void Relay::forget_gone(const Endpoint& endpoint) {
-  const ListedHost* host = directory_.find(endpoint);
-  if (host == nullptr || host->member.listing != policy::Listing::kGone) return;
+  const ListedHost* listed = directory_.find(endpoint);
+  if (listed == nullptr || listed->member.listing != policy::Listing::kGone) return;
   upstream_.close_idle(endpoint);
   if (!in_flight_.contains(endpoint)) directory_.forget(endpoint);
 }
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -1,4 +1,5 @@
-// The relay's hand-over: what it takes over from its predecessor, and what it gives to its successor.
+// The relay's handover: takes calls, listener and client connections over from the predecessor, and hands its
+// own to the successor.
 #include <algorithm>
 
 #include "net/log.h"
@@ -8,33 +9,34 @@
 namespace turntally::relay {
 namespace {
 
-constexpr Time kMaxListenWait = 5'000'000;  // for a listener that the predecessor has not closed yet
+constexpr Time kListenRetryPeriod = 5'000'000;  // the predecessor may not have closed its listener yet
 
 }  // namespace
 
-// What the predecessor has in flight, up to the listener. The frames that follow are read while clients are
-// served.
+// Reads the predecessor's calls in flight, up to the frame with the listener. Later frames are read while
+// clients are served.
 void Relay::take_over() {
   metrics_.handover_frames_rejected = 0;
   while (auto frame = handover_.next_frame()) {
     const bool is_last = frame->kind == HandoverFrame::kListener;
     try {
-      if (frame->truncated) throw HandoverFrameInvalid(frame->kind, "cut short on its way");
+      if (frame->truncated) throw HandoverFrameInvalid(frame->kind, "truncated in transit");
       if (is_last) take_listener(std::move(*frame));
       if (frame->kind == HandoverFrame::kCall) take_call(InFlightCallFrame::parse(frame->text));
     } catch (const HandoverFrameInvalid& error) {
       reject_frame(error);
-      if (is_last) listen_by_ = steady_now() + kMaxListenWait;
+      if (is_last) listen_by_ = steady_now() + kListenRetryPeriod;
     }
     if (is_last) return;
   }
 }
 
-// A predecessor whose listener is closed sends none.
+// Takes the listening socket over if it has the configured address. A predecessor whose listener is closed
+// sends none.
 void Relay::take_listener(HandoverFrame frame) {
   if (frame.descriptor.get() < 0 && frame.text.empty()) return;
   if (!is_stream_socket(frame.descriptor.get(), true))
-    throw HandoverFrameInvalid(frame.kind, "brings no listener");
+    throw HandoverFrameInvalid(frame.kind, "carries no listening socket");
   const bool same = config_.listen.port() == 0 || frame.text == net::text_of(config_.listen);
   if (same) listener_ = std::move(frame.descriptor);
 }
@@ -56,18 +58,19 @@
       });
 }
 
-// Nothing in a frame may end this process: it has all that the predecessor had.
+// Handles a frame from the predecessor. No content of a frame may end this process, which now owns all that
+// the predecessor had.
 void Relay::on_predecessor_frame(std::optional<HandoverFrame> frame) {
   if (!frame) return on_predecessor_gone();
   try {
-    if (frame->truncated) throw HandoverFrameInvalid(frame->kind, "cut short on its way");
+    if (frame->truncated) throw HandoverFrameInvalid(frame->kind, "truncated in transit");
     if (frame->kind == HandoverFrame::kClient) {
       take_client(std::move(*frame));
     } else if (frame->kind == HandoverFrame::kEnded) {
       AttemptEndedFrame ended = AttemptEndedFrame::parse(frame->text);
       on_inherited_attempt_ended(ended.message_id, std::move(ended.end), ended.call_started);
     } else {
-      throw HandoverFrameInvalid(frame->kind, "is not expected here");
+      throw HandoverFrameInvalid(frame->kind, "unexpected kind of frame");
     }
   } catch (const HandoverFrameInvalid& error) {
     reject_frame(error);
@@ -75,7 +78,7 @@
 }
 
 void Relay::take_client(HandoverFrame frame) {
-  if (frame.descriptor.get() < 0) throw HandoverFrameInvalid(frame.kind, "brings no connection");
+  if (frame.descriptor.get() < 0) throw HandoverFrameInvalid(frame.kind, "carries no client connection");
   if (handed_over_) {
     handover_.send_frame(HandoverFrame::kClient, frame.text, frame.descriptor.get());
   } else {
@@ -88,7 +91,7 @@
   net::log::failed(net::log::Level::kWarn, "handover_frame_rejected", error);
 }
 
-// What it had in flight may have run.
+// Ends the attempts that the predecessor had in flight with a reset, as they may have run.
 void Relay::on_predecessor_gone() {
   while (!inherited_attempts_.empty()) {
     policy::AttemptEnded lost;
@@ -123,11 +126,11 @@
   arrive({std::move(message)});
 }
 
-// In one turn all goes to the successor but the calls in flight: their ends follow.
+// Hands everything but the calls in flight over to the successor in one turn; the ends of those calls follow.
 void Relay::hand_over() {
   queue_event(policy::ShutdownScheduled{steady_now()});
   step();
-  // Without what the disk had no room for the next process would recover messages that have ended.
+  // Without the records for which the disk had no room, the successor would recover messages that have ended.
   if (!journal_.write_pending() || !handover_.send_folder_lock()) {
     handover_.drop_successor();
     return queue_event(policy::ShutdownScheduled{calls_end_by()});
@@ -150,8 +153,8 @@
 
 void Relay::send_in_flight_calls() {
   const auto send = [this](const Endpoint& endpoint, Time started_at, std::map<std::string, int> attempts) {
-    const ListedHost* host = directory_.find(endpoint);
-    const InFlightCallFrame frame{host == nullptr ? "" : host->id, started_at, std::move(attempts)};
+    const ListedHost* listed = directory_.find(endpoint);
+    const InFlightCallFrame frame{listed == nullptr ? "" : listed->id, started_at, std::move(attempts)};
     handover_.send_frame(HandoverFrame::kCall, frame.text());
   };
   for (const Upstream::InFlightCall& call : upstream_.in_flight_calls()) {
@@ -168,12 +171,13 @@
 
 void Relay::send_listener() {
   const int listener = clients_ ? clients_->listener() : listener_.get();
-  std::string address;  // a closed listener has none
+  std::string address;  // empty for a closed listener
   if (listener >= 0) address = net::text_of(clients_ ? clients_->address() : config_.listen);
   handover_.send_frame(HandoverFrame::kListener, address, listener);
 }
 
-// A process that has not opened yet has no clients: what its predecessor sends still passes through.
+// Hands the client connections over. A process that does not serve yet has none; it forwards those that its
+// predecessor still sends.
 void Relay::send_clients() {
   if (clients_) {
     return clients_->hand_over([this](const ClientFrame& state, int descriptor) {
@@ -196,7 +200,8 @@
   handover_.send_frame(HandoverFrame::kEnded, AttemptEndedFrame{id, end, call_started}.text());
 }
 
-// No process is there to take their ends: the one that comes next sends again, and must find none in flight.
+// Cancels all calls when there is no successor to receive their ends: the next process sends their messages
+// again, and no call may be in flight by then.
 void Relay::cancel_all_calls() {
   for (const Upstream::InFlightCall& call : upstream_.in_flight_calls())
     upstream_.cancel(call.attempts.front().id, call.attempts.front().attempt);
--- a/relay/relay_operators.cpp
+++ b/relay/relay_operators.cpp
@@ -1,4 +1,4 @@
-// The relay's answers to operators' calls, fenced by the lease that a call names.
+// The relay's responses to operator requests, fenced by the lease that a request names.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -26,7 +26,7 @@
       return {200, metrics().text()};
     case OperatorCall::What::kSuspend:
     case OperatorCall::What::kResume:
-    case OperatorCall::What::kFence:  // always with a claim, and answered above
+    case OperatorCall::What::kFence:  // always has a claim and is answered above
       break;
   }
   return suspend(call.id, call.what == OperatorCall::What::kSuspend);
@@ -44,8 +44,8 @@
   return {200, draining ? "draining\n" : "active\n"};
 }
 
-// What is carried out under a token is preceded on the disk by that token: else a holder of before could act
-// after its successor, with a restart between the two.
+// Raises the lease's highest token and stores it on the disk before anything is done under it. Otherwise an
+// earlier holder could act after a later one if the relay restarts between the two.
 void Relay::fence(const LeaseClaim& claim) {
   try {
     fencing_tokens_.raise(claim);
@@ -56,16 +56,16 @@
   }
 }
 
-// A suspended endpoint may not be listed just now: it can be resumed all the same.
+// Suspends or resumes an endpoint. A suspended endpoint can be resumed even while it is not listed.
 OperatorReply Relay::suspend(const std::string& id, bool suspended) {
-  const ListedHost* host = directory_.find(directory_.handle(id));
-  const bool listed = host != nullptr && host->member.listing != policy::Listing::kGone;
-  if (!listed && !directory_.suspended(id)) return {404, "no such endpoint\n"};
+  const ListedHost* listed = directory_.find(directory_.handle(id));
+  const bool is_listed = listed != nullptr && listed->member.listing != policy::Listing::kGone;
+  if (!is_listed && !directory_.suspended(id)) return {404, "no such endpoint\n"};
   suspended ? directory_.suspend(id) : directory_.resume(id);
   journal_.remember(fact::kSuspended + id, suspended ? "1" : "");
-  if (host != nullptr) {
-    if (suspended) upstream_.close_idle(host->member.endpoint);
-    queue_event(policy::EndpointSuspended{host->member.endpoint, suspended});
+  if (listed != nullptr) {
+    if (suspended) upstream_.close_idle(listed->member.endpoint);
+    queue_event(policy::EndpointSuspended{listed->member.endpoint, suspended});
   }
   return {200, suspended ? "suspended\n" : "resumed\n"};
 }
@@ -75,10 +75,11 @@
   for (const policy::ClassSettings& entry : config_.settings.classes) metrics.classes.try_emplace(entry.name);
   metrics.dispatches = upstream_.written();
   metrics.concurrent = handed_over_ ? 0 : messages_.accepted_count();
-  const auto& hosts = directory_.hosts();
-  metrics.targets = static_cast<size_t>(std::count_if(hosts.begin(), hosts.end(), [](const auto& host) {
-    return host.second.member.listing != policy::Listing::kGone;
-  }));
+  const auto& endpoints = directory_.hosts();
+  metrics.targets =
+      static_cast<size_t>(std::count_if(endpoints.begin(), endpoints.end(), [](const auto& listed) {
+        return listed.second.member.listing != policy::Listing::kGone;
+      }));
   metrics.targets_disabled = policy_.ejected_endpoints(steady_now());
   if (follower_) {
     metrics.registry =
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -1,5 +1,5 @@
-// The relay's recovery from the journal: endpoints and destinations at the start, messages once the list is
-// there.
+// The relay's recovery from the journal: endpoints and destinations at the start, messages once the list of
+// endpoints has come.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -9,17 +9,17 @@
 namespace turntally::relay {
 namespace {
 
-// Keys of a destination's state in the journal.
+// JSON keys of a destination's state in the journal.
 constexpr const char* kRetryTokensKey = "tokens";
 constexpr const char* kOutageSinceKey = "out_since";
 constexpr const char* kRecoveringSinceKey = "back_since";
 constexpr const char* kRateBeforeOutageKey = "base";
-constexpr const char* kWaitUntilKey = "wait_until";  // not in older records
+constexpr const char* kWaitUntilKey = "wait_until";  // missing in older records
 
 }  // namespace
 
-// What the process before knew of endpoints and destinations. The configuration's list may be older:
-// endpoints that were draining would be sent to again.
+// Recovers the endpoints and destinations that the previous process knew. The configuration's list alone may
+// be older: endpoints that were draining would get new calls again.
 void Relay::recover_endpoints() {
   HostList list;
   list.complete = true;
@@ -33,7 +33,7 @@
     recover_fact(name, value);
   }
   const bool from_registry = !list_identity_.empty();
-  if (from_registry != config_.fleet.has_value()) {  // the other one's list, whose revisions say nothing here
+  if (from_registry != config_.fleet.has_value()) {  // the other source's list; its revisions do not compare
     list.revision = 0;
     list_identity_.clear();
     journal_.remember(fact::kIdentity, "");
@@ -64,7 +64,7 @@
   state.outage_since = steady(value.at(kOutageSinceKey).get<Time>());
   state.recovering_since = steady(value.at(kRecoveringSinceKey).get<Time>());
   state.rate_before_outage = value.at(kRateBeforeOutageKey).get<double>();
-  // A restart ends a wait, a hand-over does not.
+  // A restart ends a wait, a handover does not.
   if (handover_.taken_over()) state.wait_until = steady(value.value(kWaitUntilKey, Time{0}));
   return state;
 }
@@ -79,7 +79,8 @@
   journal_.remember(fact::kDestination + std::to_string(state.destination), value.dump());
 }
 
-// Messages from before a restart are the policy's to decide on, like any other.
+// Recovers the messages of the previous process and passes them to the policy, which decides on them like on
+// any others.
 void Relay::recover_messages() {
   Recovery recovery;
   recover_ordering_holds(recovery);
@@ -92,7 +93,8 @@
   std::erase_if(inherited_attempts_, [](const auto& entry) { return entry.second.number == 0; });
 }
 
-// The message of a hold may have ended: another stands for its call.
+// Represents each hold by the call of a substitute message, as the message that caused the hold may have
+// ended.
 void Relay::recover_ordering_holds(Recovery& recovery) {
   for (const uint64_t ordering_key : ordering_.held_back_keys()) {
     RecoveredMessage substitute;
@@ -134,8 +136,8 @@
   if (inherited != nullptr) {
     message.attempts = arrival.attempts = std::max(arrival.attempts, inherited->attempt + 1);
     const auto in_flight = possibly_run.find(inherited->attempt);
-    arrival.possibly_run_zone = zone_of(in_flight->second);  // where its endpoint is listed no more
-    possibly_run.erase(in_flight);                           // its end is still to come
+    arrival.possibly_run_zone = zone_of(in_flight->second);  // if its endpoint is no longer listed
+    possibly_run.erase(in_flight);                           // its end is still pending
   }
   if (!possibly_run.empty()) {
     const RecordedAttempt& first = possibly_run.begin()->second;
@@ -154,8 +156,8 @@
   recovery.arrivals.push_back(std::move(recovered));
 }
 
-// The attempt that the predecessor still has in flight, or null. One that has no record yet never started,
-// and the predecessor starts nothing any more.
+// Returns the attempt that the predecessor still has in flight, or null. Drops an attempt without a record:
+// it never started, and the predecessor starts no more calls.
 Relay::InheritedAttempt* Relay::find_inherited(const Recovered& entry) {
   const auto found = inherited_attempts_.find(entry.message.id);
   if (found == inherited_attempts_.end()) return nullptr;
@@ -164,7 +166,8 @@
   return nullptr;
 }
 
-// Whether the policy is to learn of the message now.
+// Adds the inherited call to the message. Returns false if the call's endpoint is not known: the message is
+// deferred then.
 bool Relay::resume_inherited(RecoveredMessage& message, InheritedAttempt& inherited) {
   inherited.number = message.arrival.id;
   if (directory_.find(inherited.call.endpoint) == nullptr) {
@@ -176,26 +179,28 @@
   return true;
 }
 
-// For the policy a call that ended with the process, or in it, ends now: what comes later under its key
-// waits. The endpoint that it went to is not known, and nothing is learnt of the one that stands for it.
+// Adds to the arrival a call that ended in or with the previous process, and returns its end, so that for the
+// policy it ends now and later messages with its ordering key wait. Its endpoint is not known: any listed
+// endpoint takes its place, and the policy learns nothing about that one. Returns nullopt if none is listed.
 std::optional<policy::AttemptEnded> Relay::interrupted_call(policy::MessageArrived& arrival) const {
-  const auto& hosts = directory_.hosts();
-  const auto host = std::find_if(hosts.begin(), hosts.end(), [](const auto& entry) {
+  const auto& endpoints = directory_.hosts();
+  const auto listed = std::find_if(endpoints.begin(), endpoints.end(), [](const auto& entry) {
     return entry.second.member.listing != policy::Listing::kGone;
   });
-  if (host == hosts.end()) return {};
-  constexpr uint64_t kInterrupted = uint64_t{1} << 62;  // apart from the numbers of calls in flight
-  arrival.in_flight = policy::MessageArrived::InFlightCall{host->first, arrival.possibly_run_since,
-                                                           kInterrupted | arrival.id};
+  if (listed == endpoints.end()) return {};
+  constexpr uint64_t kInterruptedCallBit = uint64_t{1} << 62;  // differs from the numbers of calls in flight
+  arrival.in_flight = policy::MessageArrived::InFlightCall{listed->first, arrival.possibly_run_since,
+                                                           kInterruptedCallBit | arrival.id};
   policy::AttemptEnded end;
   end.id = arrival.id;
   end.attempt = arrival.attempts - 1;
-  end.endpoint = host->first;
+  end.endpoint = listed->first;
   end.outcome = policy::Outcome::kCancelled;
   return end;
 }
 
-// The policy takes messages under terms that the settings have no more.
+// Queues the messages for the policy, in settings that also have the classes of terms that the current
+// settings no longer contain.
 void Relay::arrive(const std::vector<RecoveredMessage>& messages) {
   auto settings = policy_settings();
   std::vector<policy::MessageArrived> arrivals;
@@ -206,15 +211,17 @@
     arrivals.back().message_class = static_cast<int>(place - settings->classes.begin());
     if (place == settings->classes.end()) settings->classes.push_back(message_class);
   }
-  const bool differs = settings->classes.size() > config_.settings.classes.size() || last_excess_ != 0;
-  if (differs) queue_event(policy::SettingsChanged{settings, {}});
+  const bool settings_differ =
+      settings->classes.size() > config_.settings.classes.size() || last_excess_ != 0;
+  if (settings_differ) queue_event(policy::SettingsChanged{settings, {}});
   for (const policy::MessageArrived& arrival : arrivals) queue_event(arrival);
-  if (differs) queue_event(policy::SettingsChanged{policy_settings(), {}});
+  if (settings_differ) queue_event(policy::SettingsChanged{policy_settings(), {}});
 }
 
-// Settings may list zones in another order than before. A zone that they do not name takes no repeat.
+// Returns the current index of the attempt's zone, as settings may list zones in another order than before.
+// Returns -1 for a zone that they do not name: it gets no repeat.
 int Relay::zone_of(const RecordedAttempt& attempt) const {
-  if (attempt.zone_name.empty()) return attempt.zone;  // of a version before
+  if (attempt.zone_name.empty()) return attempt.zone;  // recorded by an older version
   const auto& zones = config_.names.zones;
   const auto found = std::find(zones.begin(), zones.end(), attempt.zone_name);
   return found == zones.end() ? -1 : static_cast<int>(found - zones.begin());
--- a/relay/relay_submission.cpp
+++ b/relay/relay_submission.cpp
@@ -1,4 +1,4 @@
-// Messages that clients submit to the relay: what is accepted, under which terms and in which order.
+// Submission of messages by clients: which are accepted, under which delivery terms and in which order.
 #include <algorithm>
 #include <set>
 
@@ -8,22 +8,22 @@
 namespace turntally::relay {
 namespace {
 
-// Answers to clients.
+// Replies to clients.
 const std::string kAccepted = "+OK";
-const std::string kBusy = "-BUSY";           // may be followed by when to come again, in milliseconds
+const std::string kBusy = "-BUSY";  // may be followed by the delay before another try, in milliseconds
 const std::string kNoRoom = kBusy + " 500";  // some messages end within that time
 const std::string kFailed = "-ERR failed";
 
 constexpr Time kMs = 1000;
-constexpr Time kClockSlack = 100 * kMs;  // clients round what they measure
-constexpr Time kTransit = 2 * kMs;       // a message's time runs from its client's sending
+constexpr Time kClockSlack = 100 * kMs;  // clients round the times that they measure
+constexpr Time kTransitTime = 2 * kMs;   // a message's time to live starts when its client sends it
 
 void log_submission(const SubmittedMessage& message, const std::string& answer) {
   net::log::debug("put", "id", message.id, "class", message.message_class, "destination", message.destination,
                   "life_ms", message.time_to_live / kMs, "answer", answer);
 }
 
-// The answers to the messages that the policy did not take in this turn, by number.
+// Returns the replies to the messages that the policy rejected or failed in this turn, by message number.
 std::map<uint64_t, std::string> rejections_of(const std::vector<policy::Action>& actions) {
   std::map<uint64_t, std::string> rejections;
   for (const policy::Action& action : actions) {
@@ -40,7 +40,7 @@
 }  // namespace
 
 void Relay::accept_message(SubmittedMessage message, Clients::Answer answer) {
-  if (const auto number = messages_.number_of(message.id)) {  // sent once more
+  if (const auto number = messages_.number_of(message.id)) {  // submitted again
     if (messages_.find(*number)->accepted) return answer(kAccepted);
     submissions_.push_back({*number, std::move(answer)});
     return;
@@ -49,7 +49,8 @@
   submit(std::move(message), std::move(answer));
 }
 
-// The answer to a message that the policy does not see; counted.
+// Returns the reply to a message that is refused before the policy sees it, and counts it; nullopt if it is
+// not refused.
 std::optional<std::string> Relay::rejection(const SubmittedMessage& message) {
   const int index = class_index(config_.settings, message.message_class);
   if (index < 0) return "-ERR unknown class";
@@ -77,7 +78,7 @@
   arrival.id = messages_.next_number();
   arrival.message_class = class_index(config_.settings, message.message_class);
   arrival.tenant = tenant_index(message.tenant);
-  arrival.deadline = steady_now() + message.time_to_live - std::min(kTransit, message.time_to_live);
+  arrival.deadline = steady_now() + message.time_to_live - std::min(kTransitTime, message.time_to_live);
   arrival.destination = message.destination;
   arrival.ordering_key = message.ordering_key;
   const int64_t terms = delivery_terms_.current_number(config_.settings, message.message_class);
@@ -86,14 +87,14 @@
   queue_event(arrival);
 }
 
-// A message is the relay's from the moment that its record is written; only then its client learns of it, and
-// only then it may be sent.
+// Replies to the submissions of this turn. A message is accepted once its record is written; only then is its
+// client told, and only then may it be sent.
 void Relay::answer_submissions(const std::vector<policy::Action>& actions) {
   if (submissions_.empty()) return;
   const std::map<uint64_t, std::string> rejections = rejections_of(actions);
   std::vector<Submission> submissions;
   submissions.swap(submissions_);
-  std::map<uint64_t, std::string> answers;  // one for all who submitted the same message
+  std::map<uint64_t, std::string> answers;  // one for all submissions of the same message
   for (const Submission& submission : submissions) {
     const auto [answer, is_new] = answers.try_emplace(submission.number, kAccepted);
     if (is_new && messages_.find(submission.number) != nullptr)
@@ -114,7 +115,7 @@
                                       message.terms_number)) {
     message.accepted = true;
   } else {
-    answer = kNoRoom;  // on the disk
+    answer = kNoRoom;  // no room on the disk
     ++counts.overload;
     queue_event(policy::MessageWithdrawn{number});
   }
@@ -127,7 +128,7 @@
   return delivery_terms_.find(config_.settings, message.submitted.message_class, message.terms_number);
 }
 
-// Before all messages are recovered nothing is known of the terms in use.
+// Does nothing before all messages are recovered, as the terms in use are not known until then.
 void Relay::forget_unused_terms() {
   if (!clients_) return;
   std::set<std::string> in_use;
@@ -140,9 +141,9 @@
   return is_ordered(terms, ordering_key) && config_.settings.ordering_pause > 0;
 }
 
-// A message with a final answer is over for others only once that is acknowledged, and one whose call the
-// predecessor has in flight once the policy knows of it: until then none that came later under its key is
-// sent.
+// Returns whether the message's ordering key allows it to be sent. A later message of the key waits until the
+// final answer of an earlier one is acknowledged, and until the policy knows of an earlier one whose call the
+// predecessor has in flight.
 bool Relay::is_next_in_order(const PendingMessage& message) const {
   const uint64_t ordering_key = message.submitted.ordering_key;
   if (ordering_key == 0) return true;
@@ -157,7 +158,8 @@
   });
 }
 
-// A tenant that the settings do not name has no share that could be used up.
+// Returns the tenant's index in the settings, or -1 for a tenant that they do not name: it has no share to
+// use up.
 int Relay::tenant_index(const std::string& name) const {
   const auto& tenants = config_.settings.tenants;
   const auto found =
--- a/relay/route_waits.h
+++ b/relay/route_waits.h
@@ -1,4 +1,4 @@
-// Waits that endpoints demanded by Retry-After, by route.
+// Waits that endpoints requested with Retry-After, by route.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 namespace turntally::relay {
 
-// What waits and limits are tied to: a destination, or one of its endpoints where these are independent.
+// The scope of waits and limits: a destination, or one of its endpoints if these are independent.
 struct Route {
   int destination = 0;
-  Endpoint endpoint;  // empty: all of the destination
+  Endpoint endpoint;  // empty: the whole destination
   bool operator==(const Route&) const = default;
   bool operator<(const Route& other) const {
     return std::tie(destination, endpoint) < std::tie(other.destination, other.endpoint);
