--- a/tests/relay/stored_data_test.cpp
+++ b/tests/relay/stored_data_test.cpp
@@ -1,4 +1,5 @@
-// Stored data of versions before: a journal that commit 5be24d8 wrote is recovered exactly.
+// Compatibility with stored data: a journal written by an older version (commit 5be24d8) must be recovered
+// exactly.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -21,7 +22,7 @@
 constexpr size_t kDiskBytes = 1'000'000;
 constexpr uint64_t kOrderingKey = 0xfedcba9876543210;
 
-// A copy of the stored folder: opening a journal may write to it.
+// Works on a copy of the stored folder, as opening a journal may write to it.
 class StoredJournal : public ::testing::Test {
  protected:
   StoredJournal() {
@@ -134,7 +135,7 @@
   EXPECT_EQ(by_name.max_attempts, 0);
 }
 
-TEST_F(StoredJournal, KeepsTheNumberOfTermsThatStandInTheJournal) {
+TEST_F(StoredJournal, KeepsNumberOfRecordedTerms) {
   DeliveryTermsStore store(*journal_);
   policy::Settings settings;
   settings.max_attempts = 4;
