--- a/registry/backup_restore.cpp
+++ b/registry/backup_restore.cpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 constexpr int kBackupFormat = 1;
-constexpr const char* kDrainedIds = "drained";  // ids that are drained again should they come back
+constexpr const char* kDrainedIds = "drained";  // ids that are drained again if they return
 
 }  // namespace
 
--- a/registry/backup_restore.h
+++ b/registry/backup_restore.h
@@ -1,5 +1,5 @@
-// Backups of the list (GET /registry/backup) and the command that restores one (POST /registry/restore).
-// Leases are no part of a backup. No state.
+// Builds backups of the list (GET /registry/backup) and parses them into the command that restores one (POST
+// /registry/restore). Backups do not include leases. Stateless.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,8 +11,8 @@
 
 nlohmann::json backup_of(const State& state);
 
-// A restored list has a new identity and revisions above those of the backup. Throws std::invalid_argument
-// where `body` is no backup.
+// Returns the command that restores a backup. The restored list gets a new identity and revisions above those
+// of the backup. Throws std::invalid_argument if `body` is not a backup.
 Command parse_restore(const std::string& body);
 
 }  // namespace turntally::registry
--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -18,15 +18,15 @@
 
 using nlohmann::json;
 
-constexpr int kMostRedirects = 4;
-constexpr std::chrono::milliseconds kSilence{3000};  // a line is due every 2 s
+constexpr int kMaxRedirects = 4;
+constexpr std::chrono::milliseconds kWatchTimeout{3000};  // a member sends a line at least every 2 s
 
-uint64_t seed() {
+uint64_t random_seed() {
   std::random_device random;
   return (static_cast<uint64_t>(random()) << 32) ^ random();
 }
 
-std::string text_in(const json& body, const char* key) {
+std::string string_field(const json& body, const char* key) {
   const auto it = body.is_object() ? body.find(key) : body.end();
   if (!body.is_object() || it == body.end() || !it->is_string()) return "";
   std::string out = it->get<std::string>();
@@ -35,20 +35,20 @@
   return out;
 }
 
-bool is_code(const std::string& text) {
+bool is_error_code(const std::string& text) {
   return !text.empty() && text.find_first_not_of("abcdefghijklmnopqrstuvwxyz_") == std::string::npos;
 }
 
-Refused refused_by(const net::HttpReply& reply) {
+Refused parse_refusal(const net::HttpReply& reply) {
   const json body = json::parse(reply.body, nullptr, false);
-  const std::string what = text_in(body, "error");
-  const std::string code = text_in(body, "code");
-  return Refused(reply.status, what.empty() ? "status " + std::to_string(reply.status) : what,
-                 is_code(code) ? code : "", text_in(body, "action"));
+  const std::string message = string_field(body, "error");
+  const std::string code = string_field(body, "code");
+  return Refused(reply.status, message.empty() ? "status " + std::to_string(reply.status) : message,
+                 is_error_code(code) ? code : "", string_field(body, "action"));
 }
 
-// Where a redirect leads; nothing where it is unreadable.
-std::optional<net::tcp::endpoint> target_of(const net::HttpReply& reply) {
+// Returns the address that a redirect names, or nothing if it cannot be parsed.
+std::optional<net::tcp::endpoint> redirect_target(const net::HttpReply& reply) {
   const auto it = reply.fields.find("location");
   if (it == reply.fields.end() || !it->second.starts_with("http://")) return {};
   try {
@@ -58,16 +58,16 @@
   }
 }
 
-// The last reply, a 307 where it leads nowhere or there are too many; nothing where none came. `arrived` then
-// says whether the last call may have reached a member.
+// Returns the last reply, which is a 307 if its target cannot be parsed or there were too many redirects;
+// nothing if no reply came. Sets `arrived` to whether the last call may have reached a member.
 std::optional<net::HttpReply> call_following_redirects(net::tcp::endpoint to, const net::HttpCall& call,
                                                        bool& arrived) {
   std::optional<net::HttpReply> reply;
-  for (int i = 0; i <= kMostRedirects; ++i) {
+  for (int i = 0; i <= kMaxRedirects; ++i) {
     arrived = false;
     reply = net::http_call(to, call);
     if (!reply || reply->status != 307) return reply;
-    const auto next = target_of(*reply);
+    const auto next = redirect_target(*reply);
     if (!next) return reply;
     to = *next;
   }
@@ -78,66 +78,67 @@
 
 net::HttpReply Client::send(net::HttpCall call) {
   if (call.method != "GET" && !call.fields.contains("Idempotency-Key")) {
-    call.fields["Idempotency-Key"] = net::hex(seed());
+    call.fields["Idempotency-Key"] = net::hex(random_seed());
   }
-  const auto until = std::chrono::steady_clock::now() + patience_;
-  net::Backoff backoff(1, seed());
-  bool arrived = false;  // as far as this attempt's connection shows
-  bool unknown = false;
-  std::optional<Refused> last;
+  const auto deadline = std::chrono::steady_clock::now() + patience_;
+  net::Backoff backoff(1, random_seed());
+  bool arrived = false;  // the connection of the current call was established
+  bool outcome_unknown = false;
+  std::optional<Refused> last_refusal;
   call.connected = [&arrived] { arrived = true; };
   do {
     const auto reply = call_following_redirects(members_[at_ % members_.size()], call, arrived);
     if (reply && reply->status != 307 && reply->status != 503) return *reply;
-    if (!reply) unknown = unknown || arrived;
+    if (!reply) outcome_unknown = outcome_unknown || arrived;
     if (reply && reply->status == 503) {
-      last = refused_by(*reply);
+      last_refusal = parse_refusal(*reply);
       const json body = json::parse(reply->body, nullptr, false);
-      unknown = unknown || text_in(body, "outcome") == "unknown";
+      outcome_unknown = outcome_unknown || string_field(body, "outcome") == "unknown";
     }
     ++at_;
     std::this_thread::sleep_for(backoff.next());
-  } while (std::chrono::steady_clock::now() < until);
-  std::string none = "no member answers at";
-  for (const net::tcp::endpoint& one : members_) none += " " + net::text_of(one);
-  if (unknown && call.method != "GET") throw OutcomeUnknown(last ? last->what() : none);
-  if (last) throw Refused(*last);
-  throw NoMember(none);
+  } while (std::chrono::steady_clock::now() < deadline);
+  std::string no_answer = "no member answered at";
+  for (const net::tcp::endpoint& member : members_) no_answer += " " + net::text_of(member);
+  if (outcome_unknown && call.method != "GET")
+    throw OutcomeUnknown(last_refusal ? last_refusal->what() : no_answer);
+  if (last_refusal) throw Refused(*last_refusal);
+  throw NoMember(no_answer);
 }
 
 json Client::get(net::HttpCall call) {
   const net::HttpReply reply = send(std::move(call));
-  if (reply.status != 200) throw refused_by(reply);
+  if (reply.status != 200) throw parse_refusal(reply);
   json out = json::parse(reply.body, nullptr, false);
   if (!out.is_object())
     throw AnswerUnreadable(reply.body.substr(0, reply.body.find_first_of("\r\n")).substr(0, 60));
   return out;
 }
 
-void Client::watch(const std::function<bool(const std::string& line)>& line) {
+void Client::watch(const std::function<bool(const std::string& line)>& on_line) {
   int64_t revision = -1;
   std::string identity;
-  net::Backoff backoff(1, seed());
-  for (bool more = true; more; ++at_) {
+  net::Backoff backoff(1, random_seed());
+  for (bool keep_watching = true; keep_watching; ++at_) {
     boost::asio::io_context io;
     std::shared_ptr<net::Lines> stream;
-    const auto read = [&](const std::string& one) {
-      const json parsed = json::parse(one, nullptr, false);
+    const auto read = [&](const std::string& text) {
+      const json parsed = json::parse(text, nullptr, false);
       if (parsed.is_object()) {
         revision = parsed.value("revision", revision);
         identity = parsed.value("identity", identity);
       }
       backoff.reset();
-      more = line(one);
-      return more;
+      keep_watching = on_line(text);
+      return keep_watching;
     };
-    stream = std::make_shared<net::Lines>(io, members_[at_ % members_.size()], kSilence, read,
+    stream = std::make_shared<net::Lines>(io, members_[at_ % members_.size()], kWatchTimeout, read,
                                           [&](net::Lines::End) { stream->close(); });
     std::string target = "/api/targets?stream=1";
     if (revision >= 0) target += "&index=" + std::to_string(revision) + "&identity=" + identity;
     stream->start(target);
     io.run();
-    if (more) std::this_thread::sleep_for(backoff.next());
+    if (keep_watching) std::this_thread::sleep_for(backoff.next());
   }
 }
 
--- a/registry/client.h
+++ b/registry/client.h
@@ -1,5 +1,5 @@
-// Calls to a registry of several members, for programs that may wait: the next address on failure, redirects
-// followed, and writes repeated under one name until their fate is known.
+// A blocking client of a registry with several members: tries the next address on failure, follows redirects,
+// and repeats a write under the same Idempotency-Key until its outcome is known.
 #pragma once
 
 #include <chrono>
@@ -16,17 +16,19 @@
 class Client {
  public:
   explicit Client(std::vector<net::tcp::endpoint> members,
-                  std::chrono::milliseconds patience = std::chrono::milliseconds(8000))
-      : members_(std::move(members)), patience_(patience) {}
+                  std::chrono::milliseconds timeout = std::chrono::milliseconds(8000))
+      : members_(std::move(members)), patience_(timeout) {}
 
-  // Until some member gives an answer other than 503. Writes get an Idempotency-Key unless they have one.
-  // Where none came in time it throws NoMember, Refused with the last 503's words, or OutcomeUnknown for a
-  // write that may have been applied.
+  // Calls the members in turn until one gives a reply other than 503, and returns that. Writes get an
+  // Idempotency-Key unless they have one. On timeout throws OutcomeUnknown for a write that may have been
+  // applied, else Refused with the text of the last 503, or NoMember if there was none.
   net::HttpReply send(net::HttpCall call);
-  // The same, and anything but 200 is thrown as Refused. AnswerUnreadable where it holds no JSON object.
+  // Like send(), but throws Refused for any status other than 200, and AnswerUnreadable if the body is not a
+  // JSON object.
   nlohmann::json get(net::HttpCall call);
-  // Follows the list from member to member for as long as `line` returns true; each is a line of the watch.
-  void watch(const std::function<bool(const std::string& line)>& line);
+  // Watches the list and passes each line to `on_line` until that returns false. Moves to the next member
+  // when a watch ends.
+  void watch(const std::function<bool(const std::string& line)>& on_line);
 
  private:
   std::vector<net::tcp::endpoint> members_;
--- a/registry/client_errors.h
+++ b/registry/client_errors.h
@@ -1,4 +1,4 @@
-// What calling a registry, or following its list, may end with: docs/errors.md.
+// Errors of the registry's client and of list followers (docs/errors.md).
 #pragma once
 
 #include "net/error.h"
@@ -9,51 +9,51 @@
  public:
   explicit NoMember(const std::string& what)
       : Error("no_member", net::Family::kBroken, what,
-              "start the members, or name where they are: --at or TURNTALLY_REGISTRY") {}
+              "start the members, or pass their addresses with --at or TURNTALLY_REGISTRY") {}
 };
 
-// The registry's no, with its own code and action where its answer names them.
+// The registry refused a call. Carries the code and action of the reply if it names them.
 class Refused : public net::Error {
  public:
   Refused(int status, const std::string& what, const std::string& code = "", const std::string& action = "")
       : Error(code.empty() ? "registry_refused" : code, family_of(status), what,
-              action.empty() ? "turntally registry status shows how each member is" : action),
+              action.empty() ? "check the state of each member with turntally registry status" : action),
         status_(status) {}
 
   int status() const { return status_; }
 
  private:
-  // Beyond these 4xx, and 503 and 507, it is not as things stand: something is broken.
+  // A 4xx, 503 or 507 depends on the current state; any other status means that something is broken.
   static net::Family family_of(int status) {
     if (status == 400 || status == 405 || status == 413) return net::Family::kMisuse;
-    const bool stands = (status >= 400 && status < 500) || status == 503 || status == 507;
-    return stands ? net::Family::kRefused : net::Family::kBroken;
+    const bool is_refusal = (status >= 400 && status < 500) || status == 503 || status == 507;
+    return is_refusal ? net::Family::kRefused : net::Family::kBroken;
   }
 
   int status_;
 };
 
-// A write whose answer was lost.
+// The reply to a write was lost.
 class OutcomeUnknown : public net::Error {
  public:
   explicit OutcomeUnknown(const std::string& what)
       : Error("outcome_unknown", net::Family::kUnknown, what + "; the write may have been applied",
-              "look at what is there before you ask again") {}
+              "read the current state before you repeat the write") {}
 };
 
 class AnswerUnreadable : public net::Error {
  public:
   explicit AnswerUnreadable(const std::string& what)
-      : Error("answer_unreadable", net::Family::kBroken, "an answer is none of a registry: " + what,
-              "see that --at names the members' HTTP addresses") {}
+      : Error("answer_unreadable", net::Family::kBroken, "the answer is not a registry's: " + what,
+              "check that --at names the members' HTTP addresses") {}
 };
 
-// A line of a watch, or a list kept before, that says nothing that could be heeded.
+// A line of a watch, or a saved list, that cannot be parsed or is not valid.
 class ListUnreadable : public net::Error {
  public:
   explicit ListUnreadable(const std::string& what)
-      : Error("list_unreadable", net::Family::kBroken, "a list that cannot be read: " + what,
-              "see which program answers at the member's address, and its version") {}
+      : Error("list_unreadable", net::Family::kBroken, "unreadable list: " + what,
+              "check which program answers at the member's address, and its version") {}
 };
 
 }  // namespace turntally::registry
--- a/registry/cluster_join.cpp
+++ b/registry/cluster_join.cpp
@@ -46,7 +46,7 @@
   ++replied_;
   const json status = reply ? json::parse(reply->body, nullptr, false) : json();
   if (status.is_object()) {
-    // A log of one entry only names its members: nothing was ever written to it by a majority.
+    // A log of one entry only names its members: no majority has written to it yet.
     const int64_t last_index = status.value("last", int64_t{-1});
     if (last_index >= 0) ++readable_;
     if (last_index > 1 || !status.value("identity", "").empty()) log_owner_ = member;
@@ -55,7 +55,7 @@
   const size_t readable = std::exchange(readable_, 0);
   if (log_owner_) return request_join();
   if (readable == queried_) return finish(config_.member, true);
-  if (should_log()) log::info("waiting_to_begin", "others", queried_, "answer", readable);
+  if (should_log()) log::info("waiting_to_bootstrap", "others", queried_, "readable_logs", readable);
   retry();
 }
 
@@ -78,8 +78,8 @@
   if (reply->status == 200 && joined_by(*reply)) return;
   if (reply->status == 404) {
     const std::string number = std::to_string(config_.member);
-    return listener_.rejected("member " + number + " is not one of the registry's: turntally registry add " +
-                              number);
+    return listener_.rejected("member " + number +
+                              " is not known to the registry; add it: turntally registry add " + number);
   }
   retry();
 }
--- a/registry/cluster_join.h
+++ b/registry/cluster_join.h
@@ -1,9 +1,9 @@
-// How a member that has no log yet gets into one. Either no member has a log: then it bootstraps one together
-// with all the others. Or the others have one, and this member's was lost: then it joins under a new id, as a
-// member that has forgotten its votes must not vote under the old one.
+// Gives a member that has no log access to one. If no member has a log, it bootstraps one together with all
+// the others. If the others have one, this member has lost its own or is new: it joins under a new id,
+// because a member that has forgotten its votes must not vote under its old id.
 //
-// Asks the other members' status over HTTP, again and again until one of the two holds. Owned by a
-// shared_ptr: calls in flight keep it; after stop() it calls nothing.
+// Polls the other members' status over HTTP until one of the two cases is certain. Owned by a shared_ptr,
+// which calls in flight share. Calls no listener after stop().
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,11 +22,11 @@
 class ClusterJoin : public std::enable_shared_from_this<ClusterJoin> {
  public:
   struct Listener {
-    std::function<void(MemberId id, bool bootstrap)> joined;  // once
+    std::function<void(MemberId id, bool bootstrap)> joined;  // called once
     std::function<void(const std::string& reason)> rejected;  // the leader does not know this member
   };
 
-  // `config` must outlive it until stop().
+  // `config` must stay valid until stop().
   ClusterJoin(boost::asio::io_context& io, const Config& config, Listener listener);
 
   void start();
@@ -45,7 +45,7 @@
   void finish(MemberId id, bool bootstrap);
   bool should_log() { return log_calls_++ % kLogInterval == 0; }
 
-  static constexpr size_t kLogInterval = 25;  // attempts: 5 s
+  static constexpr size_t kLogInterval = 25;  // in calls of should_log(), one per attempt: about 5 s
 
   boost::asio::io_context& io_;
   const Config& config_;
@@ -53,12 +53,12 @@
   boost::asio::steady_timer retry_timer_;
   size_t queried_ = 0;
   size_t replied_ = 0;
-  size_t readable_ = 0;  // of the replies, those of members with a readable log
+  size_t readable_ = 0;  // replies by members whose log is readable or still empty
   size_t log_calls_ = 0;
   bool stopped_ = false;
   bool joined_ = false;
   std::optional<MemberAddress> log_owner_;  // a member that has a log
-  std::string leader_http_;                 // of the last redirect; empty: none
+  std::string leader_http_;                 // target of the last redirect; empty: none
 };
 
 }  // namespace turntally::registry
--- a/registry/config.cpp
+++ b/registry/config.cpp
@@ -9,64 +9,67 @@
 namespace turntally::registry {
 namespace {
 
-std::string address(const net::Section& section, const std::string& key,
-                    const std::optional<std::string>& fallback) {
+std::string read_address(const net::Section& section, const std::string& key,
+                         const std::optional<std::string>& fallback) {
   std::string text = section.word(key, fallback);
   if (text.empty()) return text;
   try {
     if (net::parse_address(text).port() != 0) return text;
   } catch (const std::invalid_argument&) {
   }
-  section.refuse(key, "'" + text + "' is no address such as 127.0.0.1:7201");
+  section.refuse(key, "'" + text + "' is not an address such as 127.0.0.1:7201");
 }
 
-Config read(const net::Section& file, uint64_t member) {
-  Config out;
-  std::set<std::string> taken;
-  for (const net::Section& one : file.tables("members")) {
-    MemberAddress m;
-    m.number = static_cast<uint64_t>(one.integer("member", std::nullopt, 1, 999));
-    m.raft = address(one, "raft", std::nullopt);
-    m.http = address(one, "http", std::nullopt);
-    for (const MemberAddress& other : out.members) {
-      if (other.number == m.number) one.refuse("member", "is another one's number too");
+Config parse(const net::Section& file, uint64_t member) {
+  Config config;
+  std::set<std::string> used_addresses;
+  for (const net::Section& table : file.tables("members")) {
+    MemberAddress added;
+    added.number = static_cast<uint64_t>(table.integer("member", std::nullopt, 1, 999));
+    added.raft = read_address(table, "raft", std::nullopt);
+    added.http = read_address(table, "http", std::nullopt);
+    for (const MemberAddress& other : config.members) {
+      if (other.number == added.number) table.refuse("member", "is already the number of another member");
     }
-    if (!taken.insert(m.raft).second) one.refuse("raft", "is another one's address too");
-    if (!taken.insert(m.http).second) one.refuse("http", "is another one's address too");
-    one.done();
-    out.members.push_back(std::move(m));
+    if (!used_addresses.insert(added.raft).second)
+      table.refuse("raft", "is already the address of another member");
+    if (!used_addresses.insert(added.http).second)
+      table.refuse("http", "is already the address of another member");
+    table.done();
+    config.members.push_back(std::move(added));
   }
-  if (out.members.empty()) file.refuse("members", "is missing: [[members]] with member, raft and http");
-  const auto only =
-      out.members.size() == 1 ? std::optional(static_cast<int>(out.members[0].number)) : std::nullopt;
+  if (config.members.empty()) file.refuse("members", "is missing: [[members]] with member, raft and http");
+  const auto default_member =
+      config.members.size() == 1 ? std::optional(static_cast<int>(config.members[0].number)) : std::nullopt;
   if (member != 0) file.has("member");
-  out.member = member != 0 ? member : static_cast<uint64_t>(file.integer("member", only, 1, 999));
-  if (std::none_of(out.members.begin(), out.members.end(),
-                   [&](const MemberAddress& m) { return m.number == out.member; })) {
-    file.refuse("member", std::to_string(out.member) + " is none of the members");
+  config.member =
+      member != 0 ? member : static_cast<uint64_t>(file.integer("member", default_member, 1, 999));
+  if (std::none_of(config.members.begin(), config.members.end(),
+                   [&](const MemberAddress& candidate) { return candidate.number == config.member; })) {
+    file.refuse("member", std::to_string(config.member) + " is not listed in [[members]]");
   }
-  out.folder = file.word("folder", "registry-" + std::to_string(out.member));
-  out.raft_listen = address(file, "raft_listen", "");
-  out.http_listen = address(file, "http_listen", "");
-  out.election_ms = static_cast<unsigned>(file.integer("election_ms", 500, 50, 60'000));
-  out.heartbeat_ms = static_cast<unsigned>(file.integer("heartbeat_ms", 50, 10, 10'000));
-  if (out.heartbeat_ms * 2 > out.election_ms) {
+  config.folder = file.word("folder", "registry-" + std::to_string(config.member));
+  config.raft_listen = read_address(file, "raft_listen", "");
+  config.http_listen = read_address(file, "http_listen", "");
+  config.election_ms = static_cast<unsigned>(file.integer("election_ms", 500, 50, 60'000));
+  config.heartbeat_ms = static_cast<unsigned>(file.integer("heartbeat_ms", 50, 10, 10'000));
+  if (config.heartbeat_ms * 2 > config.election_ms) {
     file.refuse("heartbeat_ms", "must be at most half of election_ms, or healthy leaders are replaced");
   }
-  out.tick_ms = file.integer("tick_ms", 500, 50, 10'000);
-  out.write_ms = file.integer("write_ms", 5000, 100, 60'000);
-  out.lease_most_ttl_ms = file.integer("lease_most_ttl_ms", 30'000, 200, 3'600'000);
-  out.free_mb = file.integer("free_mb", 64, 0, 1'000'000);
-  for (const net::Section& one : file.tables("dial")) {
-    const std::string from = address(one, "raft", std::nullopt);
-    out.dial[from] = address(one, "at", std::nullopt);
-    one.done();
+  config.tick_ms = file.integer("tick_ms", 500, 50, 10'000);
+  config.write_ms = file.integer("write_ms", 5000, 100, 60'000);
+  config.lease_most_ttl_ms = file.integer("lease_most_ttl_ms", 30'000, 200, 3'600'000);
+  config.free_mb = file.integer("free_mb", 64, 0, 1'000'000);
+  for (const net::Section& table : file.tables("dial")) {
+    const std::string from = read_address(table, "raft", std::nullopt);
+    config.dial[from] = read_address(table, "at", std::nullopt);
+    table.done();
   }
-  if (const std::string mirror = address(file, "mirror", ""); !mirror.empty()) {
-    out.mirror = net::parse_address(mirror);
+  if (const std::string mirror = read_address(file, "mirror", ""); !mirror.empty()) {
+    config.mirror = net::parse_address(mirror);
   }
   file.done();
-  return out;
+  return config;
 }
 
 }  // namespace
@@ -77,11 +80,11 @@
 }
 
 Config read_config(const std::string& path, uint64_t member) {
-  return read(net::Section::file(path), member);
+  return parse(net::Section::file(path), member);
 }
 
 Config read_config_text(const std::string& name, const std::string& toml, uint64_t member) {
-  return read(net::Section::text(name, toml), member);
+  return parse(net::Section::text(name, toml), member);
 }
 
 }  // namespace turntally::registry
--- a/registry/config.h
+++ b/registry/config.h
@@ -12,29 +12,30 @@
 
 struct MemberAddress {
   uint64_t number = 0;  // 1 to 999
-  std::string raft;     // where the other members call it
-  std::string http;     // where clients call it
+  std::string raft;     // address for calls from other members
+  std::string http;     // address for calls from clients
 };
 
 struct Config {
-  uint64_t member = 0;  // which of `members` this one is
+  uint64_t member = 0;  // number of this member
   std::vector<MemberAddress> members;
   std::string folder;
-  std::string raft_listen;  // empty: as the others call it
+  std::string raft_listen;  // address to bind; empty: the one in `members`
   std::string http_listen;
   unsigned election_ms = 500;
   unsigned heartbeat_ms = 50;
-  int tick_ms = 500;                         // how often the leader writes the time
-  int write_ms = 5000;                       // a write that is not through by then is answered as unknown
-  int lease_most_ttl_ms = 30'000;            // of the leader; a new registry grants nothing for so long
-  int free_mb = 64;                          // with less than this on its disk a member takes no writes
-  std::map<std::string, std::string> dial;   // of other members: to be called at another address
-  std::optional<net::tcp::endpoint> mirror;  // the discovery whose list is followed
+  int tick_ms = 500;                        // interval at which the leader writes the time to the log
+  int write_ms = 5000;                      // a write not applied by then is answered with outcome unknown
+  int lease_most_ttl_ms = 30'000;           // set by the leader; a new registry grants no lease for this long
+  int free_mb = 64;                         // a member with less free disk space takes no writes
+  std::map<std::string, std::string> dial;  // Raft address of a member to the address to dial instead
+  std::optional<net::tcp::endpoint> mirror;  // discovery's address; checked, otherwise unused
 
   const MemberAddress& self() const;
 };
 
-// `member`: in place of the file's; 0: the file's. Throws net::BadInput.
+// Reads and checks a configuration. `member` overrides the file's key of that name unless it is 0. Throws
+// net::BadInput.
 Config read_config(const std::string& path, uint64_t member = 0);
 Config read_config_text(const std::string& name, const std::string& toml, uint64_t member = 0);
 
--- a/registry/entry_json.cpp
+++ b/registry/entry_json.cpp
@@ -16,21 +16,21 @@
 using nlohmann::json;
 
 void check_field_names(const json& object) {
-  static const std::set<std::string> kKnown = {"id",
-                                               "host_port",
-                                               "locality",
-                                               wire::kKind,
-                                               wire::kGroup,
-                                               wire::kState,
-                                               wire::kWeight,
-                                               "up_since_ms",
-                                               "ttl_ms",
-                                               "revision",
-                                               "owner",
-                                               wire::kSourceState,
-                                               wire::kDrainedByOperator};
+  static const std::set<std::string> kFieldNames = {"id",
+                                                    "host_port",
+                                                    "locality",
+                                                    wire::kKind,
+                                                    wire::kGroup,
+                                                    wire::kState,
+                                                    wire::kWeight,
+                                                    "up_since_ms",
+                                                    "ttl_ms",
+                                                    "revision",
+                                                    "owner",
+                                                    wire::kSourceState,
+                                                    wire::kDrainedByOperator};
   for (const auto& [key, value] : object.items()) {
-    if (!kKnown.contains(key)) throw std::invalid_argument("'" + key + "' is no field of an entry");
+    if (!kFieldNames.contains(key)) throw std::invalid_argument("'" + key + "' is no field of an entry");
   }
 }
 
--- a/registry/entry_json.h
+++ b/registry/entry_json.h
@@ -1,4 +1,4 @@
-// An entry of the list as clients read and write it in JSON (docs/registry.md). No state.
+// Converts entries of the list from and to the JSON format of clients (docs/registry.md). Stateless.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -8,11 +8,12 @@
 
 namespace turntally::registry {
 
-// `id` may be missing from the JSON; where it is there it must equal `id`, unless that is empty. Throws
-// std::invalid_argument with what is wrong.
+// Parses an entry. Its id may be missing from the JSON; if present it must equal `id`, unless `id` is empty.
+// Throws std::invalid_argument with the field that is wrong.
 Entry entry_of(const nlohmann::json& json, const std::string& id);
 
-// With TTL (milliseconds) and revision, and with owner and source state where it is mirrored.
+// Returns the entry with its TTL (milliseconds) and revision, and with owner and source state if it is
+// mirrored.
 nlohmann::json json_of(const Entry& entry);
 
 }  // namespace turntally::registry
--- a/registry/error_reply.h
+++ b/registry/error_reply.h
@@ -1,4 +1,4 @@
-// HTTP replies for calls that were not carried out (docs/errors.md). No state.
+// Builds HTTP replies for failed calls (docs/errors.md). Stateless.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,11 +9,11 @@
 
 namespace turntally::registry {
 
-// The error's status, with code, text, action and outcome ("unknown" or "none") in a JSON body besides the
-// fields of `body`. A 503 has Retry-After, in seconds.
+// Returns a reply with the error's status, and with code, text, action and outcome ("unknown" or "none") in a
+// JSON body besides the fields of `body`. A 503 has Retry-After, in seconds.
 net::HttpReply error_reply(const Error& error, nlohmann::json body = nlohmann::json::object());
 
-// Why the log has not taken a proposal. `result` must not be kDone.
+// Returns the error for a proposal that failed. `result` must not be kDone.
 Error proposal_error(const ProposalResult& result);
 
 }  // namespace turntally::registry
--- a/registry/errors.h
+++ b/registry/errors.h
@@ -1,5 +1,5 @@
-// What the registry answers where a call is not done: a type for each, with the status of the answer, and
-// whether the call may still have an effect.
+// The registry's errors: a type for each kind, with the HTTP status of its reply and whether the call may
+// still take effect.
 #pragma once
 
 #include <cstdint>
--- a/registry/http_routes.cpp
+++ b/registry/http_routes.cpp
@@ -86,7 +86,7 @@
   reads_.when_current(request, responder, [this, responder, name] { show_leases(responder, name); });
 }
 
-// One lease with its checkpoint, or all without.
+// Replies with one lease and its checkpoint, or with all leases without checkpoints.
 void HttpRoutes::show_leases(const Responder& responder, const std::string& name) {
   const auto& leases = member_.state.leases().all();
   const Millis now = member_.state.now();
--- a/registry/http_routes.h
+++ b/registry/http_routes.h
@@ -1,5 +1,5 @@
-// The routes of a member's HTTP API (docs/registry.md): which part serves which path and method. Malformed
-// requests get a BadRequest (400), unknown paths NoSuchCall (404). No state.
+// Routes the calls of a member's HTTP API (docs/registry.md) to the part that serves their path and method.
+// Malformed requests get a BadRequest (400), unknown paths NoSuchCall (404). Stateless.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 class HttpRoutes {
  public:
-  // `server` is set before the first request.
+  // `server` must be set before the first request.
   HttpRoutes(MemberState& member, WriteRequests& writes, ReadRequests& reads, MembershipRequests& memberships,
              const WatchBroadcaster& broadcaster, const std::unique_ptr<net::HttpServer>& server)
       : member_(member),
--- a/registry/list_follower.cpp
+++ b/registry/list_follower.cpp
@@ -11,11 +11,11 @@
 namespace turntally::registry {
 namespace {
 
-constexpr std::chrono::milliseconds kSilence{3000};  // a line is due every 2 s
-// What a silent watch misses counts as told 6 s after it fell silent, which may be 3 s before that was
-// noticed.
-constexpr std::chrono::milliseconds kPauseAfterSilence{1000};
-constexpr auto kTick = std::chrono::milliseconds(500);
+constexpr std::chrono::milliseconds kWatchTimeout{3000};  // a member sends a line at least every 2 s
+// Changes missed on a silent watch count as delivered 6 s after the silence began, of which up to 3 s pass
+// before it is noticed.
+constexpr std::chrono::milliseconds kMaxPauseAfterSilence{1000};
+constexpr auto kTickInterval = std::chrono::milliseconds(500);
 
 using std::chrono::milliseconds;
 
@@ -50,7 +50,7 @@
 void ListFollower::connect_in(milliseconds pause) {
   pause_.expires_after(pause);
   pause_.async_wait([this](const boost::system::error_code& error) {
-    if (error || pause_.expiry() > std::chrono::steady_clock::now()) return;  // it was closed
+    if (error || pause_.expiry() > std::chrono::steady_clock::now()) return;  // closed in the meantime
     if (!stream_) connect();
   });
 }
@@ -58,8 +58,8 @@
 void ListFollower::connect() {
   const auto self = std::make_shared<net::Lines*>(nullptr);
   stream_ = std::make_shared<net::Lines>(
-      io_, at(), kSilence, [this](const std::string& text) { return line(text); },
-      [this, self](net::Lines::End how) { ended(*self, how); });
+      io_, at(), kWatchTimeout, [this](const std::string& text) { return line(text); },
+      [this, self](net::Lines::End reason) { ended(*self, reason); });
   *self = stream_.get();
   std::string target = "/api/targets?stream=1";
   if (guard_.revision() >= 0)
@@ -69,7 +69,7 @@
   stream_->start(target);
 }
 
-void ListFollower::ended(const net::Lines* stream, net::Lines::End how) {
+void ListFollower::ended(const net::Lines* stream, net::Lines::End reason) {
   if (stream != stream_.get()) return;
   stream_->close();
   stream_.reset();
@@ -77,7 +77,7 @@
   ++moves_;
   if (confirmed_) {
     return connect_in(
-        backoff_.next(how == net::Lines::End::kSilent ? kPauseAfterSilence : milliseconds::max()));
+        backoff_.next(reason == net::Lines::End::kSilent ? kMaxPauseAfterSilence : milliseconds::max()));
   }
   const auto since = std::chrono::steady_clock::now() - connected_at_;
   connect_in(backoff_.again(std::chrono::duration_cast<milliseconds>(since)));
@@ -95,8 +95,9 @@
 bool ListFollower::line(const std::string& text) {
   if (text.find_first_not_of(" \r\t") == std::string::npos) {
     if (guard_.holds()) return true;
-    // Nothing has changed: of what? Where no list is known that is no answer.
-    if (guard_.revision() < 0) return std::chrono::steady_clock::now() - connected_at_ < kSilence;
+    // An empty line confirms the known list. Before a list is known it confirms nothing, and a watch that
+    // sends nothing else is given up after kWatchTimeout.
+    if (guard_.revision() < 0) return std::chrono::steady_clock::now() - connected_at_ < kWatchTimeout;
     current();
     return true;
   }
@@ -106,14 +107,15 @@
     contact_age = parsed.value("heard_ms", Millis{0});
     heed(guard_.on_line(parsed, net::text_of(at()), now_ms()));
   } catch (const std::exception& error) {
-    const auto* known = dynamic_cast<const ListUnreadable*>(&error);
-    net::log::failed(net::log::Level::kWarn, "list_unreadable", known ? *known : ListUnreadable(error.what()),
-                     "member", net::text_of(at()));
+    const auto* unreadable = dynamic_cast<const ListUnreadable*>(&error);
+    net::log::failed(net::log::Level::kWarn, "list_unreadable",
+                     unreadable ? *unreadable : ListUnreadable(error.what()), "member", net::text_of(at()));
     return false;
   }
   if (guard_.holds()) {
     net::log::warn("list_held", "member", net::text_of(at()), "known", guard_.known().size());
-    return settings_.members.size() < 2 || guard_.holder() != net::text_of(at());  // what does another say?
+    return settings_.members.size() < 2 ||
+           guard_.holder() != net::text_of(at());  // compare with another member
   }
   if (contact_age < 0 || contact_age > settings_.late_ms) return settings_.members.size() < 2;
   current();
@@ -122,13 +124,13 @@
 
 void ListFollower::heed(const std::vector<nlohmann::json>& lines) {
   if (lines.empty()) return;
-  for (const nlohmann::json& one : lines) listener_.on_list(one);
+  for (const nlohmann::json& line : lines) listener_.on_list(line);
   if (listener_.keep) listener_.keep(guard_.save());
 }
 
 void ListFollower::tick() {
   heed(guard_.tick(now_ms()));
-  tick_.expires_after(kTick);
+  tick_.expires_after(kTickInterval);
   tick_.async_wait([this](const boost::system::error_code& error) {
     if (!error && tick_.expiry() <= std::chrono::steady_clock::now()) tick();
   });
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -1,5 +1,6 @@
-// The registry's client in a relay: one watch at a time, on one of several members; on failure the next one,
-// with full jitter over the fleet's size. What comes goes through the guard.
+// The registry's client in a relay: follows the list with one watch at a time, on one of several members. On
+// failure it moves to the next member, after a pause with full jitter that grows with the fleet's size.
+// Passes all lines through a ListGuard.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,34 +19,37 @@
 struct ListFollowerSettings {
   std::vector<net::tcp::endpoint> members;
   ListGuard::Limits guard;
-  int callers = 1;  // that follow the same members
+  int callers = 1;  // clients that follow the same members
   uint64_t seed = 0;
-  Millis late_ms = 4000;  // a member that has not heard from a majority for so long is left for another
+  Millis late_ms = 4000;  // age of a member's contact to a majority at which it is left for another
 };
 
 class ListFollower {
  public:
   struct Listener {
-    std::function<void(const nlohmann::json& line)> on_list;  // a list to apply, in discovery's form
-    std::function<void()> current;                            // every change so far has been passed on
-    std::function<void(const nlohmann::json& saved)> keep;    // what is known has changed; may be empty
+    // Receives a list to apply, in discovery's format.
+    std::function<void(const nlohmann::json& line)> on_list;
+    // All changes so far have been passed on.
+    std::function<void()> current;
+    // Receives the state to save after a change; may be empty.
+    std::function<void(const nlohmann::json& saved)> keep;
   };
 
-  // `saved`: what `keep` gave last; null where there is none. It is passed on at once.
+  // `saved`: the value last passed to `on_save`, or null. Its list is passed to `on_list` at once.
   ListFollower(boost::asio::io_context& io, ListFollowerSettings settings, const nlohmann::json& saved,
                Listener listener);
   ~ListFollower();
 
-  void close();  // for good
+  void close();  // cannot be undone
   const ListGuard& guard() const { return guard_; }
-  uint64_t moves() const { return moves_; }  // to another member
-  Millis heard_ms() const;  // since a member that is not late last said that this is its list; -1: not yet
+  uint64_t moves() const { return moves_; }  // changes to another member
+  Millis heard_ms() const;  // since a member that is not stale last confirmed the list; -1: never
   const net::tcp::endpoint& at() const { return settings_.members[member_index_]; }
 
  private:
   void connect();
   void connect_in(std::chrono::milliseconds pause);
-  void ended(const net::Lines* stream, net::Lines::End how);
+  void ended(const net::Lines* stream, net::Lines::End reason);
   bool line(const std::string& text);
   void current();
   void heed(const std::vector<nlohmann::json>& lines);
@@ -59,8 +63,8 @@
   boost::asio::steady_timer pause_;
   boost::asio::steady_timer tick_;
   std::shared_ptr<net::Lines> stream_;
-  std::chrono::steady_clock::time_point connected_at_;  // when that was begun,
-  bool confirmed_ = false;                              // and whether it said that its list is current
+  std::chrono::steady_clock::time_point connected_at_;  // start of the current watch
+  bool confirmed_ = false;                              // the current watch has confirmed the list
   size_t member_index_ = 0;
   Millis confirmed_at_ms_ = -1;
   uint64_t moves_ = 0;
--- a/registry/list_json.h
+++ b/registry/list_json.h
@@ -1,5 +1,5 @@
-// The list as discovery's clients read it: {"revision":…,"complete":…,"members":[…]}, and the list's
-// identity. A watch gets one such object a line. No state.
+// Builds the list in the format of discovery's clients: {"revision":…,"complete":…,"members":[…]}, and the
+// list's identity. A watch gets one such object per line. Stateless.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,9 +11,9 @@
 namespace turntally::registry {
 
 nlohmann::json complete_list(const State& state);
-// A partial list: members that have left have the state "left".
+// Returns a partial list. Members that have left have the state "left".
 nlohmann::json changed_members(const State& state, const std::vector<Change>& changes);
-// One member, in a state of its own or "left".
+// Returns one member of a list, with `state`: the entry's own or "left".
 nlohmann::json member_json(const Entry& entry, const std::string& state);
 
 }  // namespace turntally::registry
--- a/registry/member_metrics.cpp
+++ b/registry/member_metrics.cpp
@@ -10,7 +10,7 @@
 namespace turntally::registry {
 namespace {
 
-// Writes samples in Prometheus' text form, one type line and one value each.
+// Builds Prometheus' text format: a type line and one value for each metric.
 class MetricsText {
  public:
   template <typename Value>
@@ -46,49 +46,49 @@
            "\nregistry_commit_seconds_count " + std::to_string(cumulative) + "\n";
 }
 
-void write_list_metrics(MetricsText& out, const State& state) {
-  out.gauge("revision", state.revision());
-  out.gauge("entries", state.entries().size());
-  out.gauge("registrations", state.registrations());
-  out.gauge("expiry_held", state.expiry_paused() ? 1 : 0);
+void write_list_metrics(MetricsText& text, const State& state) {
+  text.gauge("revision", state.revision());
+  text.gauge("entries", state.entries().size());
+  text.gauge("registrations", state.registrations());
+  text.gauge("expiry_held", state.expiry_paused() ? 1 : 0);
 }
 
-void write_lease_metrics(MetricsText& out, const State& state, const LeaseTable::Counts& counts) {
+void write_lease_metrics(MetricsText& text, const State& state, const LeaseTable::Counts& counts) {
   uint64_t granted = 0;
   uint64_t queued = 0;
   for (const auto& [name, lease] : state.leases().all()) {
     granted += lease.holder.empty() ? 0 : 1;
     queued += lease.queue.size();
   }
-  out.gauge("leases", state.leases().all().size());
-  out.gauge("leases_held", granted);
-  out.gauge("leases_waiting", queued);
-  out.counter("leases_granted_total", counts.granted);
-  out.counter("leases_expired_total", counts.expired);
-  out.counter("leases_fenced_total", counts.fenced);
-  out.counter("leases_renewals_total", counts.renewed);
+  text.gauge("leases", state.leases().all().size());
+  text.gauge("leases_held", granted);
+  text.gauge("leases_waiting", queued);
+  text.counter("leases_granted_total", counts.granted);
+  text.counter("leases_expired_total", counts.expired);
+  text.counter("leases_fenced_total", counts.fenced);
+  text.counter("leases_renewals_total", counts.renewed);
 }
 
-void write_member_metrics(MetricsText& out, const MemberState& member) {
-  out.gauge("source_seconds", static_cast<double>(member.state.source_ms()) / 1000);
-  out.gauge("leads", member.is_leader() ? 1 : 0);
-  out.gauge("heard_seconds", static_cast<double>(member.majority_contact_age_ms()) / 1000);
+void write_member_metrics(MetricsText& text, const MemberState& member) {
+  text.gauge("source_seconds", static_cast<double>(member.state.source_ms()) / 1000);
+  text.gauge("leads", member.is_leader() ? 1 : 0);
+  text.gauge("heard_seconds", static_cast<double>(member.majority_contact_age_ms()) / 1000);
   const MemberMetrics& metrics = member.metrics;
-  out.counter("leader_changes_total", metrics.leader_changes);
-  out.counter("compactions_total", metrics.compactions);
-  out.counter("log_reopened_total", metrics.log_reopened);
-  out.counter("reads_total", metrics.reads);
-  out.counter("consistent_reads_total", metrics.consistent_reads);
-  out.counter("redirected_total", metrics.redirected);
-  out.counter("writes_refused_total", metrics.refused);
-  out.counter("writes_unknown_total", metrics.unknown);
+  text.counter("leader_changes_total", metrics.leader_changes);
+  text.counter("compactions_total", metrics.compactions);
+  text.counter("log_reopened_total", metrics.log_reopened);
+  text.counter("reads_total", metrics.reads);
+  text.counter("consistent_reads_total", metrics.consistent_reads);
+  text.counter("redirected_total", metrics.redirected);
+  text.counter("writes_refused_total", metrics.refused);
+  text.counter("writes_unknown_total", metrics.unknown);
 }
 
-void write_watch_metrics(MetricsText& out, const WatchBroadcaster::Counts& counts) {
-  out.counter("watch_lines_encoded_total", counts.encoded);
-  out.counter("watch_lines_sent_total", counts.sent);
-  out.counter("watch_whole_lists_total", counts.whole);
-  out.counter("watch_ahead_total", counts.behind);
+void write_watch_metrics(MetricsText& text, const WatchBroadcaster::Counts& counts) {
+  text.counter("watch_lines_encoded_total", counts.encoded);
+  text.counter("watch_lines_sent_total", counts.sent);
+  text.counter("watch_whole_lists_total", counts.whole);
+  text.counter("watch_ahead_total", counts.behind);
 }
 
 }  // namespace
@@ -108,16 +108,16 @@
 
 std::string metrics_text(const MemberState& member, const WatchBroadcaster& broadcaster,
                          const net::HttpServer& server) {
-  MetricsText out;
-  out.gauge("watchers", broadcaster.watchers());
-  out.gauge("connections", server.connections());
-  write_list_metrics(out, member.state);
-  write_lease_metrics(out, member.state, member.metrics.leases);
-  write_member_metrics(out, member);
-  write_watch_metrics(out, broadcaster.counts());
-  out.counter("watch_drops_total", server.unread());
-  out.commit_histogram(member.metrics);
-  return std::move(out).text();
+  MetricsText text;
+  text.gauge("watchers", broadcaster.watchers());
+  text.gauge("connections", server.connections());
+  write_list_metrics(text, member.state);
+  write_lease_metrics(text, member.state, member.metrics.leases);
+  write_member_metrics(text, member);
+  write_watch_metrics(text, broadcaster.counts());
+  text.counter("watch_drops_total", server.unread());
+  text.commit_histogram(member.metrics);
+  return std::move(text).text();
 }
 
 }  // namespace turntally::registry
--- a/registry/member_state.h
+++ b/registry/member_state.h
@@ -1,5 +1,5 @@
-// What the parts of one registry member share: its configuration, the list as far as it has applied the log,
-// and its position in the log. Owned by Service; used in one thread, that of `io`.
+// State shared by the parts of one registry member: its configuration, the list as of the last log entry that
+// it has applied, and its position in the log. Owned by Service; used only in the thread of `io`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,8 +19,8 @@
 
 namespace turntally::registry {
 
-// A member that has had no contact with a majority for so long says so to its watchers, in milliseconds. The
-// same holds for the source of a mirrored list.
+// After this long without contact to a majority, or without a confirmation by the source of a mirrored list,
+// a member tells its watchers that its list is stale.
 constexpr int64_t kMajorityContactTimeout = 3000;
 
 using Responder = std::shared_ptr<net::HttpAnswer>;
@@ -30,21 +30,22 @@
               std::function<void(const std::string&)> on_fatal);
 
   bool is_leader() const { return raft.role == RaftStatus::Role::kLeader; }
-  // Milliseconds since this member last applied an entry, which a majority had; -1: never.
+  // Returns the milliseconds since this member last applied a log entry, which a majority had confirmed; -1:
+  // never.
   int64_t majority_contact_age_ms() const;
-  // Why this member takes no writes; nothing where it does.
+  // Returns the reason why this member takes no writes, or nothing if it does.
   std::optional<Error> write_refusal() const;
-  // Where clients reach a member; empty where that is not known.
+  // Returns a member's address for clients, or an empty string if it is not known.
   std::string http_address(MemberNumber number) const;
   std::string leader_http_address() const;
-  // A reply with status 200 and the fields that say how current this member is.
+  // Returns a reply with status 200 and the header fields that tell how current this member's list is.
   net::HttpReply reply_head() const;
 
   boost::asio::io_context& io;
   const Config config;
-  const std::function<void(const std::string&)> fatal;  // this member must end, and why
+  const std::function<void(const std::string&)> fatal;  // called with the reason when this member must exit
   State state;
-  uint64_t applied_index = 0;  // of the log, that `state` is at
+  uint64_t applied_index = 0;  // of the last log entry applied to `state`
   MemberId id = 0;             // 0: not in the log yet
   std::string log_failure;     // why the log is closed; empty while it is open
   RaftStatus raft;
--- a/registry/membership_requests.cpp
+++ b/registry/membership_requests.cpp
@@ -42,7 +42,7 @@
   const MemberAddress address{number, json_field<std::string>(body, "raft", ""),
                               json_field<std::string>(body, "http", "")};
   net::parse_address(address.http);
-  if (request.method == "POST") {  // it may join once it is started
+  if (request.method == "POST") {  // allows the member to join once it is started
     return writes_.submit(request, responder, member_command(number, address.http));
   }
   net::parse_address(address.raft);
@@ -94,7 +94,7 @@
   });
 }
 
-// A leader does not remove itself: it transfers the leadership, and the caller comes again.
+// A leader does not remove itself: it transfers the leadership, and the caller has to repeat the call.
 void MembershipRequests::step_down(const Responder& responder) {
   member_.replica->transfer_leadership(0, [responder](const ProposalResult& result) {
     const bool transferred = result.outcome == ProposalOutcome::kDone;
@@ -104,16 +104,17 @@
   });
 }
 
-void MembershipRequests::remove_ids(MemberNumber number, const Done& done) {
+void MembershipRequests::remove_ids(MemberNumber number, const ChangeCallback& done) {
   auto& peers = member_.raft.members;
-  const auto peer = std::find_if(peers.begin(), peers.end(),
-                                 [&](const Peer& one) { return member_number(one.id) == number; });
+  const auto peer = std::find_if(peers.begin(), peers.end(), [&](const Peer& candidate) {
+    return member_number(candidate.id) == number;
+  });
   if (peer == peers.end()) return done({});
   const MemberId id = peer->id;
   log::info("member_removed", "id", id);
   member_.replica->remove_member(id, [this, number, id, done](const ProposalResult& result) {
     if (result.outcome != ProposalOutcome::kDone) return done(result);
-    std::erase_if(member_.raft.members, [&](const Peer& one) { return one.id == id; });
+    std::erase_if(member_.raft.members, [&](const Peer& candidate) { return candidate.id == id; });
     remove_ids(number, done);
   });
 }
--- a/registry/membership_requests.h
+++ b/registry/membership_requests.h
@@ -1,6 +1,6 @@
-// Changes of the log's members: PUT (a member joins), POST (an operator allows one to join) and DELETE of
-// /registry/members/NUMBER. At the leader only. libraft takes one change at a time: where another is under
-// way the reply is MembersChange (503). No state of its own.
+// Changes the log's members on calls of /registry/members/NUMBER: PUT (a member joins), POST (an operator
+// allows one to join) and DELETE. Runs at the leader only. libraft takes one change at a time: while another
+// is in progress the reply is MembersChange (503). Stateless.
 #pragma once
 
 #include <functional>
@@ -19,15 +19,15 @@
   void handle(const net::HttpRequest& request, const Responder& responder);
 
  private:
-  using Done = std::function<void(const ProposalResult&)>;
+  using ChangeCallback = std::function<void(const ProposalResult&)>;
 
   void handle_put(const net::HttpRequest& request, const Responder& responder, MemberNumber number);
   void join(const MemberAddress& address, const Responder& responder);
   void add(const MemberAddress& address, const Responder& responder);
   void remove(const net::HttpRequest& request, const Responder& responder, MemberNumber number);
   void step_down(const Responder& responder);
-  // Takes every id of that number out of the log's configuration.
-  void remove_ids(MemberNumber number, const Done& done);
+  // Removes every id of that number from the log's configuration, then calls `done`.
+  void remove_ids(MemberNumber number, const ChangeCallback& done);
   bool is_known(MemberNumber number) const;
 
   MemberState& member_;
--- a/registry/read_requests.h
+++ b/registry/read_requests.h
@@ -1,6 +1,6 @@
-// Reads of the list: whole, as a watch, or consistent. Replies from this member's own state at once; with
-// consistent=1 the leader replies, after a barrier in the log. Owns the reads that wait for a barrier: one
-// barrier serves all reads that arrived before it was proposed.
+// Serves reads of the list: whole, as a watch, or consistent. Replies at once from this member's own state;
+// with consistent=1 only the leader replies, after a barrier in the log. Owns the reads that wait for a
+// barrier: one barrier serves all reads that arrived before it was proposed.
 #pragma once
 
 #include <functional>
@@ -18,11 +18,11 @@
   ReadRequests(MemberState& member, WriteRequests& writes, WatchBroadcaster& broadcaster)
       : member_(member), writes_(writes), broadcaster_(broadcaster) {}
 
-  // GET /api/targets: the list, or with stream=1 a watch on it.
+  // Serves GET /api/targets: the list, or a watch on it with stream=1.
   void list(const net::HttpRequest& request, const Responder& responder);
 
-  // Calls `read` once this member's state is as current as the request demands; replies with an error where
-  // it does not become so.
+  // Calls `read` once this member's state is as current as the request demands; replies with a redirect or an
+  // error if that cannot be ensured here.
   void when_current(const net::HttpRequest& request, const Responder& responder, std::function<void()> read);
 
  private:
@@ -34,7 +34,7 @@
   MemberState& member_;
   WriteRequests& writes_;
   WatchBroadcaster& broadcaster_;
-  std::vector<BarrierCallback> waiting_;  // for the next barrier
+  std::vector<BarrierCallback> waiting_;  // reads to serve after the next barrier
   bool barrier_in_flight_ = false;
 };
 
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -15,7 +15,7 @@
 namespace fs = std::filesystem;
 namespace log = net::log;
 
-// The file in a member's folder that has its id in the log.
+// Returns the path of the file in which a member stores its id in the log.
 std::string id_path(const std::string& folder) { return folder + "/member"; }
 
 MemberId read_id(const std::string& folder) {
@@ -26,12 +26,12 @@
 
 bool write_id(const std::string& folder, MemberId id) {
   const std::string path = id_path(folder);
-  std::ofstream out(path + ".new");
-  out << id << "\n";
-  out.close();
+  std::ofstream file(path + ".new");
+  file << id << "\n";
+  file.close();
   std::error_code error;
   fs::rename(path + ".new", path, error);
-  return out && !error;
+  return file && !error;
 }
 
 }  // namespace
@@ -72,8 +72,8 @@
 void Service::open_log(MemberId id, bool bootstrap) {
   const std::string& folder = member_.config.folder;
   member_.id = id;
-  if (!write_id(folder, id)) member_.fatal(id_path(folder) + ": cannot be written");
-  log::info("log_opens", "id", id, "begins", bootstrap ? 1 : 0);
+  if (!write_id(folder, id)) member_.fatal(id_path(folder) + ": the member's id cannot be written");
+  log::info("log_opening", "id", id, "bootstrap", bootstrap ? 1 : 0);
   replica_ = std::make_unique<Replica>(member_.io, replica_settings(bootstrap), replica_listener());
   member_.replica = replica_.get();
 }
@@ -104,12 +104,12 @@
   listener.restored = [this](uint64_t index, State state) { on_restored(index, std::move(state)); };
   listener.status_changed = [this](const RaftStatus& status) { on_status_changed(status); };
   listener.log_closed = [this](const std::string& reason) { on_log_closed(reason); };
-  listener.diverged = [this](const std::string& what) { member_.fatal(what); };
+  listener.diverged = [this](const std::string& reason) { member_.fatal(reason); };
   return listener;
 }
 
 void Service::on_applied(uint64_t index, const Command& command) {
-  if (index <= member_.applied_index) return;  // the log was opened again
+  if (index <= member_.applied_index) return;  // replayed after the log was reopened
   member_.applied_index = index;
   member_.last_applied_us = net::steady_now();
   State& state = member_.state;
@@ -119,8 +119,9 @@
   const ApplyResult result = state.apply(index, command);
   member_.metrics.add_lease_counts(lease_counts, state.leases().counts());
   if (result.kind == ApplyResult::Kind::kFenced) ++member_.metrics.leases.fenced;
-  // A member that leads soon after its start learns only now how far the log's time had come: until its own
-  // clock had caught up, as long again as the log is old, no time would pass and no lease expire.
+  // A member that becomes leader soon after its start may still be applying old entries. Without this its
+  // clock would lag behind the log's time for as long as the log is old: no time would pass and no lease
+  // would expire.
   if (member_.is_leader()) member_.clock.advance_to(state.now());
   if (state.compacted() != compacted) ++member_.metrics.compactions;
   if (state.revision() != revision) broadcaster_.changed();
--- a/registry/service.h
+++ b/registry/service.h
@@ -1,5 +1,5 @@
-// One member of the registry as a process runs it: wires the replicated log, the list's state, the watches
-// and the HTTP API together. Owns all of them; used in the thread of its io_context.
+// A registry member: connects the replicated log, the list's state, the watches and the HTTP API. Owns all of
+// them and runs in the thread of its io_context.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,8 @@
 
 class Service {
  public:
-  // Listens at once; throws std::exception. `fatal`: this member must end, and why.
+  // Starts to listen; throws std::exception if that fails. `fatal` is called with the reason when this member
+  // must exit.
   Service(boost::asio::io_context& io, Config config, std::function<void(const std::string&)> fatal);
   ~Service();
 
@@ -38,7 +39,7 @@
   void on_status_changed(const RaftStatus& status);
   void on_log_closed(const std::string& reason);
 
-  // The order matters: what is below uses what is above, and goes first.
+  // Declaration order matters: each member may use those above it and is destroyed before them.
   MemberState member_;
   WriteRequests writes_;
   LeaderDuties leader_duties_;
--- a/registry/status_report.cpp
+++ b/registry/status_report.cpp
@@ -40,7 +40,7 @@
   return sources;
 }
 
-// -1: this member has a log that cannot be read.
+// Returns the index of the last log entry, or -1 if this member's log cannot be read.
 int64_t readable_last_index(const MemberState& member) {
   if (member.replica != nullptr && member.raft.role == RaftStatus::Role::kDown) return -1;
   return static_cast<int64_t>(member.raft.last_index);
--- a/registry/status_report.h
+++ b/registry/status_report.h
@@ -1,4 +1,5 @@
-// What a member says of itself: GET /registry/status, and the line to watchers when it is behind. No state.
+// Builds a member's report at GET /registry/status, and the watch line that tells that its list is stale.
+// Stateless.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,8 +12,8 @@
 
 nlohmann::json status_report(const MemberState& member, const WatchBroadcaster& broadcaster);
 
-// The line for quiet watches while this member has had no contact with a majority, or a source's mirror with
-// its source, for kMajorityContactTimeout; null while neither holds.
+// Returns the line for idle watches if this member had no contact to a majority, or the source of a mirrored
+// list was not confirmed, for kMajorityContactTimeoutMs; null otherwise.
 nlohmann::json staleness_line(const MemberState& member);
 
 }  // namespace turntally::registry
--- a/registry/target_requests.cpp
+++ b/registry/target_requests.cpp
@@ -25,18 +25,18 @@
   return mutation;
 }
 
-// A member of a source's list. A source may have fields that an entry has not: they are left out.
+// Parses an endpoint in a source's list. Fields that an entry does not have are ignored.
 Mutation parse_mirrored(const json& object) {
   if (!object.is_object()) throw std::invalid_argument("members: each must be an object");
   if (json_field<std::string>(object, wire::kState, "") == wire::kLeft) {
     return {json_field<std::string>(object, "id", ""), {}, {}};
   }
-  json known;
+  json entry_fields;
   for (const char* key : {"id", "host_port", "locality", wire::kKind, wire::kGroup, wire::kState,
                           wire::kWeight, "up_since_ms"}) {
-    if (object.contains(key)) known[key] = object[key];
+    if (object.contains(key)) entry_fields[key] = object[key];
   }
-  Entry entry = entry_of(known, "");
+  Entry entry = entry_of(entry_fields, "");
   std::string id = entry.id;
   return {std::move(id), std::move(entry), {}};
 }
--- a/registry/target_requests.h
+++ b/registry/target_requests.h
@@ -1,5 +1,5 @@
-// Writes to the list as clients form them, read into commands of the log. No state. All throw
-// std::invalid_argument on what is malformed.
+// Parses clients' writes to the list into commands for the log. Stateless. The parsers throw
+// std::invalid_argument on malformed input.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace turntally::registry {
 
-// A command of a kind with all else empty; its time comes when it is proposed.
+// Returns a command with only its kind set. Its time is set when it is proposed.
 Command make_command(Command::Kind kind);
 
 // POST /api/targets: several mutations, all or none.
@@ -18,11 +18,11 @@
 Command parse_target_put(const net::HttpRequest& request, const std::string& id);
 Command parse_target_delete(const net::HttpRequest& request, const std::string& id);
 
-// PUT and POST /api/registrations/ID: endpoints that list themselves, and renew within their TTL.
+// PUT and POST /api/registrations/ID: an endpoint registers itself, and renews within its TTL.
 Command parse_registration(const std::string& body, const std::string& id);
 Command renewal_command(const std::string& id);
 
-// PUT /api/mirror: what a source says of its list. Only under a lease, so that one mirror at a time writes.
+// PUT /api/mirror: an update of a source's list. Requires a lease, so that only one mirror writes at a time.
 Command parse_mirror(const net::HttpRequest& request);
 
 }  // namespace turntally::registry
--- a/registry/wire_names.h
+++ b/registry/wire_names.h
@@ -1,5 +1,5 @@
 // Names in the registry's HTTP and JSON forms that differ from the program's own terms. They are part of the
-// protocol (docs/registry.md) and never change; nothing but the readers and writers of these forms uses them.
+// protocol (docs/registry.md) and never change; only the parsers and builders of these forms use them.
 #pragma once
 
 namespace turntally::registry::wire {
@@ -17,7 +17,7 @@
 inline constexpr const char* kLeaving = "leaving";
 inline constexpr const char* kLeft = "left";  // only in watch lines and mirror writes
 
-// Staleness, in milliseconds: since a majority of the members confirmed the log, and since a source's mirror
+// Ages in milliseconds: since a majority of the members confirmed the log, and since a source's mirror
 // confirmed its list.
 inline constexpr const char* kMajorityContactAge = "heard_ms";
 inline constexpr const char* kSourceAge = "source_ms";
--- a/registry/write_requests.cpp
+++ b/registry/write_requests.cpp
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-// Replied to once: when its result is known, or when its time is over.
+// A write in flight. It is replied to once: when its result is known, or at its deadline.
 struct WriteRequests::PendingWrite {
   Responder responder;
   boost::asio::steady_timer deadline;
@@ -98,7 +98,8 @@
 }
 
 void WriteRequests::submit(const HttpRequest& request, const Responder& responder, Command command) {
-  // A lease call is safe to repeat, and its reply is that of the moment: it takes no key and no fence.
+  // A lease call is safe to repeat, and its reply reflects the current state: it takes no idempotency key and
+  // no fence.
   if (command.kind != Command::Kind::kLease) {
     read_idempotency_key(request, command);
     read_fence(request, command);
--- a/registry/write_requests.h
+++ b/registry/write_requests.h
@@ -1,6 +1,6 @@
-// Writes: calls that go through the log. A follower redirects them to the leader (307); the leader proposes
-// the command and replies once it has been applied, or that the outcome is unknown (503) once `write_ms` is
-// over. Owns the number of writes in flight, which is bounded.
+// Handles writes, the calls that go through the log. A follower redirects them to the leader (307). The
+// leader proposes the command and replies once it has been applied, or with outcome unknown (503) after
+// Config::write_timeout_ms. Limits the number of writes in flight.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
  public:
   explicit WriteRequests(MemberState& member) : member_(member) {}
 
-  // Replies exactly once. Reads the request's idempotency key and lease into `command`; throws
-  // std::invalid_argument where they are malformed.
+  // Proposes `command` with the request's idempotency key and lease, and replies exactly once. Throws
+  // std::invalid_argument if those are malformed.
   void submit(const net::HttpRequest& request, const Responder& responder, Command command);
 
   // Runs `action` at once if this member leads and takes writes; replies with a redirect or an error if not.
   void at_leader(const net::HttpRequest& request, const Responder& responder,
                  const std::function<void()>& action);
 
-  bool at_limit() const;  // no further write is taken
+  bool at_limit() const;  // no further write is accepted
 
  private:
   struct PendingWrite;
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -191,7 +191,7 @@
     }
     return std::string("taken");
   };
-  EXPECT_EQ(refused("member = 2\n" + one), "f:1: member: 2 is none of the members");
+  EXPECT_EQ(refused("member = 2\n" + one), "f:1: member: 2 is not listed in [[members]]");
   EXPECT_EQ(refused(one + "http_listn = \"x\"\n"), "f:5: members[0].http_listn: is not known");
   EXPECT_NE(refused("election_ms = 60\nheartbeat_ms = 50\n" + one).find("f:2: heartbeat_ms"),
             std::string::npos);
