--- a/controller/backup.h
+++ b/controller/backup.h
@@ -1,5 +1,5 @@
-// The task "backup": the registry's list in a folder, every so often. Each is read as a whole list of the
-// registry before it counts, and read again from the disk; older ones go only after that.
+// The task "backup": saves the registry's list in a folder at a fixed interval. Each backup is compared with
+// the registry's list and read back from the disk; only then are older ones removed.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -10,18 +10,19 @@
 
 namespace turntally::controller {
 
-// What a backup must be, and what it is called. A core: no I/O.
+// Describes a backup. Neither this type nor the functions below do any I/O.
 struct Backup {
   uint64_t revision = 0;
   uint64_t hash = 0;  // XXH3 of its bytes
   size_t entries = 0;
   size_t bytes = 0;
-  std::string file() const;  // sorts by revision
+  std::string file() const;  // names sort by revision
   bool operator==(const Backup&) const = default;
 };
-// `list`: the registry's list, read consistently before the backup was asked for. Throws BackupBroken.
+// Checks that `backup` is valid and not older than `list`, the registry's list as read consistently before
+// the backup was requested. Returns its description; throws BackupBroken.
 Backup checked_backup(const std::string& backup, const std::string& list);
-// Of the files in a folder, those that go when `keep` stay, never `newest`.
+// Returns those of a folder's backup files to remove so that the `keep` newest stay; never `newest`.
 std::vector<std::string> too_old(std::vector<std::string> files, size_t keep, const std::string& newest);
 
 class BackupTask : public Task {
@@ -32,7 +33,7 @@
  private:
   void begun(const std::string& checkpoint) override;
   void ended() override;
-  void add_status(nlohmann::json& to) const override;
+  void add_status(nlohmann::json& report) const override;
 
   void wait_until_due();
   void again_later();
@@ -40,14 +41,14 @@
   void fetch(std::string list);
   void write(const std::string& bytes, const Backup& made);
   void remove_old();
-  // Work on the disk, on a thread of its own: a slow disk must not cost the lease. `then` on the loop, if the
-  // same grant still stands, and only where no error was thrown.
+  // Runs `work` on the disk thread: a slow disk must not cost the lease. Then, if the same grant is still
+  // current, runs `then` in the loop's thread, or records the error that `work` threw and retries later.
   void on_disk(std::function<void()> work, std::function<void()> then);
 
   boost::asio::steady_timer timer_;
   net::Backoff backoff_;
   Backup last_;
-  int64_t at_ms_ = 0;  // of the last one, by the wall clock; 0: none
+  int64_t at_ms_ = 0;  // of the last backup, by the wall clock; 0: none
   boost::asio::thread_pool disk_{1};
 };
 
--- a/controller/call.cpp
+++ b/controller/call.cpp
@@ -17,10 +17,10 @@
   acts_ = false;
   number_ = 0;
   at_ms_ = 0;
-  const json before = json::parse(checkpoint, nullptr, false);
-  if (before.is_object()) {
-    number_ = before.value("number", uint64_t{0});
-    at_ms_ = before.value("at_ms", int64_t{0});
+  const json saved = json::parse(checkpoint, nullptr, false);
+  if (saved.is_object()) {
+    number_ = saved.value("number", uint64_t{0});
+    at_ms_ = saved.value("at_ms", int64_t{0});
   }
   raised_.assign(config_.call.addresses.size(), false);
   backoff_.reset();
@@ -57,7 +57,7 @@
       });
 }
 
-// The next act is due so long after the last one, whoever did that.
+// The next round is due one interval after the last one began, also if a previous holder sent that.
 void CallTask::wait_for_turn() {
   const int64_t every = config_.call.every_ms;
   const int64_t since = net::wall_now() / 1000 - at_ms_;
@@ -68,7 +68,7 @@
 }
 
 void CallTask::turn() {
-  if (!may_act()) return;  // the shell's tick ends the grant
+  if (!may_act()) return;  // the lease client ends the grant
   at_ms_ = net::wall_now() / 1000;
   const json body = {{"task", name()}, {"number", number_ + 1}};
   waits_for_ = config_.call.addresses.size();
@@ -88,21 +88,21 @@
 }
 
 void CallTask::all_in() {
-  if (gave_up()) return;  // refused by a fence: not done, also where another address has taken it
+  if (gave_up()) return;  // fenced: not completed, even if another address accepted the call
   ++number_;
   save_checkpoint({{"number", number_}, {"at_ms", at_ms_}}, [this] {
     if (may_act()) wait_for_turn();
   });
 }
 
-void CallTask::add_status(json& to) const {
-  to["number"] = number_;
-  to["state"] = !held() ? "waits" : acts_ ? "acts" : "raises the fence";
+void CallTask::add_status(json& report) const {
+  report["number"] = number_;
+  report["state"] = !held() ? "waits" : acts_ ? "acts" : "raises the fence";
   json missing = json::array();
   for (size_t i = 0; held() && !acts_ && i < raised_.size(); ++i) {
     if (!raised_[i]) missing.push_back(net::text_of(config_.call.addresses[i]));
   }
-  if (!missing.empty()) to["fence_missing"] = missing;
+  if (!missing.empty()) report["fence_missing"] = missing;
 }
 
 }  // namespace turntally::controller
--- a/controller/call.h
+++ b/controller/call.h
@@ -1,9 +1,10 @@
-// The task "call": POST to each of a list of addresses, again and again. Acts have running numbers that go on
-// from one holder to the next.
+// The task "call": sends a POST to each of a list of addresses at a fixed interval. Rounds are numbered, and
+// the numbering continues from one holder to the next.
 //
-// A new holder first raises the fence at every address: an act of the holder before that is still on its way
-// is refused there, so it cannot land between this one's. Each act is under one number at all addresses, and
-// the number is kept once all have answered or not: a successor of a holder that died in between repeats it.
+// A new holder first raises the fence at every address: a call of the previous holder that is still in flight
+// is then refused there, so it cannot arrive between this holder's calls. All calls of a round carry its
+// number. The number is saved once every address has answered or failed: the successor of a holder that died
+// before that repeats the round.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -20,7 +21,7 @@
  private:
   void begun(const std::string& checkpoint) override;
   void ended() override;
-  void add_status(nlohmann::json& to) const override;
+  void add_status(nlohmann::json& report) const override;
 
   void raise();
   void raise_at(size_t i);
@@ -30,11 +31,11 @@
 
   boost::asio::steady_timer timer_;
   net::Backoff backoff_;
-  std::vector<bool> raised_;  // by address
-  size_t waits_for_ = 0;      // answers, to the fence or to an act
-  bool acts_ = false;         // the fence is up
-  uint64_t number_ = 0;       // of the last act that is over
-  int64_t at_ms_ = 0;         // when it began, by the wall clock; 0: never
+  std::vector<bool> raised_;  // per address
+  size_t waits_for_ = 0;      // to the fence or to the calls of a round
+  bool acts_ = false;         // calls may be sent
+  uint64_t number_ = 0;       // of the last completed round
+  int64_t at_ms_ = 0;         // when the last round began, by the wall clock; 0: never
 };
 
 }  // namespace turntally::controller
--- a/controller/config.cpp
+++ b/controller/config.cpp
@@ -13,39 +13,38 @@
 
 using net::Section;
 
-constexpr size_t kMostName = 200;  // as the registry takes them
-constexpr int kDay = 86'400;
+constexpr size_t kMaxNameLength = 200;  // the registry's limit
+constexpr int kSecondsPerDay = 86'400;
 
-// The greatest drift of two clocks against one another that a lease must outlast: 1 %, as
-// lease::HolderSettings asks for, rounded up.
-constexpr double kLeastMargin = 0.02;
+// Covers a drift of 1 % between two clocks, by the rule at lease::LeaseSettings::margin, rounded up.
+constexpr double kMinMargin = 0.02;
 
-net::tcp::endpoint address(const Section& in, const std::string& key, const std::string& text) {
+net::tcp::endpoint read_address(const Section& in, const std::string& key, const std::string& text) {
   try {
     return net::parse_address(text);
   } catch (const std::invalid_argument&) {
-    in.refuse(key, "'" + text + "' is no address such as 127.0.0.1:7101");
+    in.refuse(key, "'" + text + "' is not an address such as 127.0.0.1:7101");
   }
 }
 
-std::vector<net::tcp::endpoint> addresses(const Section& in, const std::string& key) {
-  std::vector<net::tcp::endpoint> out;
+std::vector<net::tcp::endpoint> read_addresses(const Section& in, const std::string& key) {
+  std::vector<net::tcp::endpoint> parsed;
   std::set<net::tcp::endpoint> seen;
   for (const std::string& text : in.words(key, {})) {
-    out.push_back(address(in, key, text));
-    if (!seen.insert(out.back()).second) in.refuse(key, "names " + text + " twice");
+    parsed.push_back(read_address(in, key, text));
+    if (!seen.insert(parsed.back()).second) in.refuse(key, "lists " + text + " twice");
   }
-  if (out.empty()) in.refuse(key, "names no address");
-  return out;
+  if (parsed.empty()) in.refuse(key, "must list at least one address");
+  return parsed;
 }
 
-void check_name(const Section& in, const std::string& key, const std::string& name, size_t most) {
-  if (name.empty() || name.size() > most)
-    in.refuse(key, "must have 1 to " + std::to_string(most) + " characters");
-  // It goes into paths and fields of HTTP as it is.
+void check_name(const Section& in, const std::string& key, const std::string& name, size_t max_length) {
+  if (name.empty() || name.size() > max_length)
+    in.refuse(key, "must have 1 to " + std::to_string(max_length) + " characters");
+  // The name is put into HTTP paths and header fields without escaping.
   if (name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./") !=
       std::string::npos)
-    in.refuse(key, "may have letters, digits and '-_./' only");
+    in.refuse(key, "may contain only letters, digits and '-_./'");
 }
 
 std::string host_name() {
@@ -54,65 +53,67 @@
   return *name == '\0' ? "controller" : name;
 }
 
-TaskConfig task(const Section& in) {
-  TaskConfig out;
+TaskConfig parse_task(const Section& in) {
+  TaskConfig task;
   const std::string kind = in.word("kind", {}, {"call", "backup", "mirror"});
-  out.name = in.word("name", "task/" + kind);
-  check_name(in, "name", out.name, kMostName);
+  task.name = in.word("name", "task/" + kind);
+  check_name(in, "name", task.name, kMaxNameLength);
   if (kind == "call") {
-    out.kind = TaskConfig::Kind::kCall;
-    out.call = {addresses(in, "addresses"), in.word("path", {}), in.integer("every_ms", {}, 10, kDay * 1000),
-                in.integer("timeout_ms", 1000, 10, 60'000)};
-    if (!out.call.path.starts_with("/")) in.refuse("path", "must begin with '/'");
+    task.kind = TaskConfig::Kind::kCall;
+    task.call = {read_addresses(in, "addresses"), in.word("path", {}),
+                 in.integer("every_ms", {}, 10, kSecondsPerDay * 1000),
+                 in.integer("timeout_ms", 1000, 10, 60'000)};
+    if (!task.call.path.starts_with("/")) in.refuse("path", "must begin with '/'");
   } else if (kind == "backup") {
-    out.kind = TaskConfig::Kind::kBackup;
-    out.backup = {in.word("folder", {}), in.integer("every_s", {}, 1, 30 * kDay),
-                  in.integer("keep", 24, 1, 100'000)};
-    if (out.backup.folder.empty()) in.refuse("folder", "is empty");
+    task.kind = TaskConfig::Kind::kBackup;
+    task.backup = {in.word("folder", {}), in.integer("every_s", {}, 1, 30 * kSecondsPerDay),
+                   in.integer("keep", 24, 1, 100'000)};
+    if (task.backup.folder.empty()) in.refuse("folder", "must not be empty");
   } else {
-    out.kind = TaskConfig::Kind::kMirror;
-    out.mirror = {address(in, "discovery", in.word("discovery", {})), in.word("source", "platform")};
-    check_name(in, "source", out.mirror.source, kMostName);
+    task.kind = TaskConfig::Kind::kMirror;
+    task.mirror = {read_address(in, "discovery", in.word("discovery", {})), in.word("source", "platform")};
+    check_name(in, "source", task.mirror.source, kMaxNameLength);
   }
   in.done();
-  return out;
+  return task;
 }
 
 Config parse(const Section& file) {
-  Config out;
+  Config config;
   const std::string prefix = file.word("holder", host_name());
-  check_name(file, "holder", prefix, kMostName - 40);
-  out.holder = prefix + "-" + std::to_string(::getpid()) + "-" + std::to_string(net::wall_now() / 1000);
-  if (file.has("http")) out.http = address(file, "http", file.word("http", {}));
-  out.clock_rate = file.number("clock_rate", 1.0, 0.9, 1.1);
+  check_name(file, "holder", prefix, kMaxNameLength - 40);
+  config.holder = prefix + "-" + std::to_string(::getpid()) + "-" + std::to_string(net::wall_now() / 1000);
+  if (file.has("http")) config.http = read_address(file, "http", file.word("http", {}));
+  config.clock_rate = file.number("clock_rate", 1.0, 0.9, 1.1);
 
   const Section registry = file.table("registry");
-  out.registry = addresses(registry, "members");
+  config.registry = read_addresses(registry, "members");
   registry.done();
 
   const Section lease = file.table("lease");
-  out.lease.ttl = lease.integer("ttl_ms", 3000, 200, 30'000) * lease::Time{1000};
-  out.lease.margin = lease.number("margin", 0.25, kLeastMargin, 0.9);
-  out.lease.renewals = lease.integer("renewals", 4, 1, 100);
-  out.lease.answer = lease.integer("answer_ms", 500, 10, 30'000) * lease::Time{1000};
-  if (out.lease.answer >= out.lease.ttl) lease.refuse("answer_ms", "must be less than ttl_ms");
-  out.lease.first_pause = lease.integer("first_pause_ms", 50, 1, 60'000) * lease::Time{1000};
-  out.lease.most_pause = lease.integer("most_pause_ms", 2000, 1, 60'000) * lease::Time{1000};
-  if (out.lease.most_pause < out.lease.first_pause)
+  config.lease.ttl = lease.integer("ttl_ms", 3000, 200, 30'000) * lease::Time{1000};
+  config.lease.margin = lease.number("margin", 0.25, kMinMargin, 0.9);
+  config.lease.renewals = lease.integer("renewals", 4, 1, 100);
+  config.lease.answer = lease.integer("answer_ms", 500, 10, 30'000) * lease::Time{1000};
+  if (config.lease.answer >= config.lease.ttl) lease.refuse("answer_ms", "must be less than ttl_ms");
+  config.lease.first_pause = lease.integer("first_pause_ms", 50, 1, 60'000) * lease::Time{1000};
+  config.lease.most_pause = lease.integer("most_pause_ms", 2000, 1, 60'000) * lease::Time{1000};
+  if (config.lease.most_pause < config.lease.first_pause)
     lease.refuse("most_pause_ms", "must not be less than first_pause_ms");
   lease.done();
   std::random_device random;
-  out.lease.seed = (static_cast<uint64_t>(random()) << 32) ^ random();
+  config.lease.seed = (static_cast<uint64_t>(random()) << 32) ^ random();
 
   std::set<std::string> names;
-  for (const Section& one : file.tables("task")) {
-    out.tasks.push_back(task(one));
-    if (!names.insert(out.tasks.back().name).second)
-      one.refuse("name", "'" + out.tasks.back().name + "' is another task's: each needs a lease of its own");
+  for (const Section& section : file.tables("task")) {
+    config.tasks.push_back(parse_task(section));
+    if (!names.insert(config.tasks.back().name).second)
+      section.refuse("name", "'" + config.tasks.back().name +
+                                 "' is already the name of another task: each task needs its own lease");
   }
-  if (out.tasks.empty()) file.refuse("task", "there is no [[task]]");
+  if (config.tasks.empty()) file.refuse("task", "at least one [[task]] is required");
   file.done();
-  return out;
+  return config;
 }
 
 }  // namespace
--- a/controller/config.h
+++ b/controller/config.h
@@ -29,22 +29,22 @@
 struct TaskConfig {
   enum class Kind { kCall, kBackup, kMirror };
   Kind kind = Kind::kCall;
-  std::string name;  // of its lease
-  CallKeys call;     // of the three, its kind's
+  std::string name;  // also the name of its lease
+  CallKeys call;     // only the one of `kind` is set
   BackupKeys backup;
   MirrorKeys mirror;
 };
 
 struct Config {
-  std::string holder;                      // of this process, new with each start
-  std::optional<net::tcp::endpoint> http;  // for /status and /metrics
-  double clock_rate = 1;                   // for tests of drift
+  std::string holder;                      // name of this process as a lease holder; differs with each start
+  std::optional<net::tcp::endpoint> http;  // serves /status and /metrics
+  double clock_rate = 1;                   // speed factor of the lease clock, for tests of drift
   std::vector<net::tcp::endpoint> registry;
-  lease::LeaseSettings lease;  // but for the names
+  lease::LeaseSettings lease;  // without the names, which each task sets
   std::vector<TaskConfig> tasks;
 };
 
-// Throws net::BadInput, "FILE:LINE: KEY: what is wrong".
+// Reads and checks a configuration. Throws net::BadInput with "FILE:LINE: KEY: REASON".
 Config read_config(const std::string& path);
 Config read_config_text(const std::string& name, const std::string& toml);
 
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -27,7 +27,7 @@
           answer->reply({404, body.dump() + "\n", "application/json", {}});
         });
   }
-  for (const TaskConfig& one : config.tasks) tasks_.push_back(make_task(io, config_, one));
+  for (const TaskConfig& task_config : config.tasks) tasks_.push_back(make_task(io, config_, task_config));
   for (const auto& task : tasks_) task->start();
 }
 
@@ -48,22 +48,23 @@
 
 std::string Controller::metrics() const {
   std::string out;
-  const auto each = [&](const char* metric, const char* kind, auto value) {
+  const auto add_metric = [&](const char* metric, const char* kind, auto value) {
     out += std::string("# TYPE controller_") + metric + " " + kind + "\n";
     for (const auto& task : tasks_)
       out += std::string("controller_") + metric + "{task=\"" + task->name() + "\"} " +
              std::to_string(value(*task)) + "\n";
   };
-  each("held", "gauge", [](const Task& task) { return task.held() ? 1 : 0; });
-  each("token", "gauge", [](const Task& task) { return task.token(); });
-  each("grants_total", "counter", [](const Task& task) { return task.metrics().grants; });
-  each("acts_total", "counter", [](const Task& task) { return task.metrics().acts; });
-  each("failures_total", "counter", [](const Task& task) { return task.metrics().failures; });
-  each("fenced_total", "counter", [](const Task& task) { return task.metrics().fenced; });
-  each("acted_seconds", "gauge", [](const Task& task) {  // ago; -1: never in this process
-    const net::Time at = task.metrics().acted;
-    return at == 0 ? -1.0 : static_cast<double>(net::steady_now() - at) / 1e6;
-  });
+  add_metric("held", "gauge", [](const Task& task) { return task.held() ? 1 : 0; });
+  add_metric("token", "gauge", [](const Task& task) { return task.token(); });
+  add_metric("grants_total", "counter", [](const Task& task) { return task.metrics().grants; });
+  add_metric("acts_total", "counter", [](const Task& task) { return task.metrics().acts; });
+  add_metric("failures_total", "counter", [](const Task& task) { return task.metrics().failures; });
+  add_metric("fenced_total", "counter", [](const Task& task) { return task.metrics().fenced; });
+  add_metric("acted_seconds", "gauge",
+             [](const Task& task) {  // since the last action; -1: none in this process
+               const net::Time at = task.metrics().acted;
+               return at == 0 ? -1.0 : static_cast<double>(net::steady_now() - at) / 1e6;
+             });
   return out;
 }
 
--- a/controller/controller.h
+++ b/controller/controller.h
@@ -1,4 +1,4 @@
-// The controller: the tasks of one process, and its address for those who look after it.
+// Runs the tasks of one controller process and serves their status and metrics over HTTP.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,10 +15,11 @@
 
 class Controller {
  public:
-  // Listens at once, where the configuration says so; throws boost::system::system_error.
+  // Starts all tasks, and listens if the configuration names an address; throws boost::system::system_error
+  // if that fails.
   Controller(boost::asio::io_context& io, const Config& config);
 
-  // Gives all leases back when nothing is out any more. `closed` is called once.
+  // Waits for the work in progress, releases all leases and then calls `closed` once.
   void close(const std::function<void()>& closed);
   nlohmann::json status() const;
   std::string metrics() const;
--- a/controller/errors.h
+++ b/controller/errors.h
@@ -1,11 +1,12 @@
-// controller: runs the fleet's tasks, each under a lease of its own. This one: what goes wrong, as types.
+// Errors of the controller, which runs the fleet's tasks, each under its own lease. Their texts are served at
+// /status.
 #pragma once
 
 #include "net/error.h"
 
 namespace turntally::controller {
 
-// No answer that says what happened: it may have been done.
+// No reply arrived in time. The call may have been carried out.
 class NoAnswer : public net::Error {
  public:
   explicit NoAnswer(const std::string& who)
@@ -13,7 +14,7 @@
               "look at that process and the path to it; the task goes on by itself") {}
 };
 
-// A changed thing, or the registry, has seen a later holder of this lease.
+// A called address, or the registry, has seen a later holder of this lease.
 class Fenced : public net::Error {
  public:
   explicit Fenced(const std::string& who)
@@ -21,7 +22,7 @@
               net::kFencedAction) {}
 };
 
-// Asked rightly, and refused: a status that is neither well nor a fence.
+// The reply's status is neither a success nor a fence.
 class Refused : public net::Error {
  public:
   Refused(const std::string& who, int status, const std::string& why)
@@ -30,7 +31,7 @@
               "look at what it says and at the task's keys") {}
 };
 
-// A backup that must not take the place of an older one.
+// The backup is not valid and must not replace an older one.
 class BackupBroken : public net::Error {
  public:
   explicit BackupBroken(const std::string& what)
@@ -45,7 +46,7 @@
               "make room, or make the folder writable for the controller; it tries again by itself") {}
 };
 
-// Discovery's list cannot be read, or is not there.
+// Discovery's list is unreadable, or its watch ended.
 class WatchBroken : public net::Error {
  public:
   explicit WatchBroken(const std::string& what)
--- a/controller/mirror.cpp
+++ b/controller/mirror.cpp
@@ -14,22 +14,22 @@
 
 namespace {
 
-constexpr milliseconds kSilence{3000};  // of a watch: an empty line is due every 2 s
-constexpr milliseconds kConfirm{1000};
-constexpr milliseconds kCall{3000};
+constexpr milliseconds kWatchTimeout{3000};  // discovery sends at least an empty line every 2 s
+constexpr milliseconds kConfirmInterval{1000};
+constexpr milliseconds kCallTimeout{3000};
 
-// Also throws on what is well-formed JSON and no list.
-json parsed(const std::string& text) {
+// Parses a line of discovery. Throws WatchBroken, also on well-formed JSON that is not a list.
+json parse_line(const std::string& text) {
   json line = json::parse(text, nullptr, false);
-  const auto is = [&](const char* key, bool (json::*kind)() const noexcept) {
+  const auto has = [&](const char* key, bool (json::*kind)() const noexcept) {
     return line.contains(key) && (line[key].*kind)();
   };
-  if (!line.is_object() || !is("revision", &json::is_number_integer) || !is("complete", &json::is_boolean) ||
-      !is("members", &json::is_array))
+  if (!line.is_object() || !has("revision", &json::is_number_integer) ||
+      !has("complete", &json::is_boolean) || !has("members", &json::is_array))
     throw WatchBroken("discovery's line is no list");
-  for (const json& one : line["members"]) {
-    if (!one.is_object() || !one.contains("id") || !one["id"].is_string() || !one.contains("phase") ||
-        !one["phase"].is_string())
+  for (const json& member : line["members"]) {
+    if (!member.is_object() || !member.contains("id") || !member["id"].is_string() ||
+        !member.contains("phase") || !member["phase"].is_string())
       throw WatchBroken("discovery's list has an entry without id or phase");
   }
   return {{"revision", line["revision"]}, {"complete", line["complete"]}, {"members", line["members"]}};
@@ -37,26 +37,26 @@
 
 }  // namespace
 
-void MirrorLines::merge(json& into, const json& line) {
-  if (!into.is_object() || line["complete"].get<bool>()) return void(into = line);
-  into["revision"] = line["revision"];
-  json& members = into["members"];
-  for (const json& one : line["members"]) {
+void MirrorLines::merge(json& update, const json& line) {
+  if (!update.is_object() || line["complete"].get<bool>()) return void(update = line);
+  update["revision"] = line["revision"];
+  json& members = update["members"];
+  for (const json& member : line["members"]) {
     const auto it = std::find_if(members.begin(), members.end(),
-                                 [&](const json& known) { return known["id"] == one["id"]; });
-    // A whole list says that one has left by not naming it.
-    if (into["complete"].get<bool>() && one["phase"] == "left") {
+                                 [&](const json& candidate) { return candidate["id"] == member["id"]; });
+    // A complete list omits the members that have left.
+    if (update["complete"].get<bool>() && member["phase"] == "left") {
       if (it != members.end()) members.erase(it);
     } else if (it != members.end()) {
-      *it = one;
+      *it = member;
     } else {
-      members.push_back(one);
+      members.push_back(member);
     }
   }
 }
 
 void MirrorLines::told(const std::string& text) {
-  const json line = parsed(text);
+  const json line = parse_line(text);
   const int64_t revision = line["revision"];
   if (!line["complete"].get<bool>()) {
     if (revision_ < 0) throw WatchBroken("discovery tells a change where the whole list was asked for");
@@ -111,15 +111,15 @@
   fetch();
 }
 
-void MirrorTask::later(void (MirrorTask::*what)()) {
+void MirrorTask::later(void (MirrorTask::*step)()) {
   pause_.expires_after(backoff_.next());
-  pause_.async_wait([this, what](const Error& error) {
-    if (!error && may_act()) (this->*what)();
+  pause_.async_wait([this, step](const Error& error) {
+    if (!error && may_act()) (this->*step)();
   });
 }
 
 void MirrorTask::fetch() {
-  ask(config_.mirror.discovery, {"GET", "/api/targets", {}, "", kCall},
+  ask(config_.mirror.discovery, {"GET", "/api/targets", {}, "", kCallTimeout},
       [this](const std::optional<net::HttpReply>& reply) {
         if (!may_act()) return;
         if (!went_well("discovery", reply)) return later(&MirrorTask::anew);
@@ -138,13 +138,13 @@
   const auto self = std::make_shared<net::Lines*>(nullptr);
   alive_watch_ = false;
   stream_ = std::make_shared<net::Lines>(
-      io_, config_.mirror.discovery, kSilence, [this](const std::string& text) { return line(text); },
-      [this, self](net::Lines::End how) {
+      io_, config_.mirror.discovery, kWatchTimeout, [this](const std::string& text) { return line(text); },
+      [this, self](net::Lines::End reason) {
         if (*self != stream_.get()) return;
         stream_->close();
         stream_.reset();
-        failed(WatchBroken(std::string("the watch at discovery ends: ") + net::Lines::name_of(how)));
-        // From what is known; where that has been spoilt, from the start.
+        failed(WatchBroken(std::string("the watch at discovery ends: ") + net::Lines::name_of(reason)));
+        // Resumes from the known revision; starts over if the list was discarded.
         later(lines_.revision() < 0 ? &MirrorTask::anew : &MirrorTask::connect);
       });
   *self = stream_.get();
@@ -174,19 +174,19 @@
   body["source"] = config_.mirror.source;
   body["serial"] = ++serial_;
   out_now_ = true;
-  act_at_registry({"PUT", "/api/mirror", {{"Content-Type", "application/json"}}, body.dump(), kCall},
+  act_at_registry({"PUT", "/api/mirror", {{"Content-Type", "application/json"}}, body.dump(), kCallTimeout},
                   [this, line](const std::optional<net::HttpReply>& reply) { written(line, reply); });
 }
 
 void MirrorTask::written(const json& line, const std::optional<net::HttpReply>& reply) {
   out_now_ = false;
-  const bool well = went_well("the registry", reply);
+  const bool succeeded = went_well("the registry", reply);
   if (!may_act()) {
-    if (well) acted();
+    if (succeeded) acted();
     return;
   }
-  if (!well) {
-    // Refused as it is: what the registry has is not what discovery told, so nothing must confirm it.
+  if (!succeeded) {
+    // The update itself was refused: the registry's list differs from discovery's and must not be confirmed.
     if (reply && reply->status < 500) {
       drop();
       return later(&MirrorTask::anew);
@@ -200,16 +200,16 @@
   acted();
   backoff_.reset();
   written_ = net::steady_now();
-  const json answer = json::parse(reply->body, nullptr, false);
-  const std::string identity = answer.is_object() ? answer.value("identity", "") : "";
-  // Another list stands there since: a restored one, which knows less.
-  const std::string before = std::exchange(identity_, identity);
-  if (!before.empty() && before != identity) return anew();
+  const json body = json::parse(reply->body, nullptr, false);
+  const std::string identity = body.is_object() ? body.value("identity", "") : "";
+  // The registry's list has been replaced by a restored one, which may be older than the last write.
+  const std::string previous_identity = std::exchange(identity_, identity);
+  if (!previous_identity.empty() && previous_identity != identity) return anew();
   write();
 }
 
 void MirrorTask::confirm_later() {
-  confirm_.expires_after(kConfirm);
+  confirm_.expires_after(kConfirmInterval);
   confirm_.async_wait([this](const Error& error) {
     if (error) return;
     if (may_act() && alive_watch_ && stream_ && !out_now_ && lines_.empty())
@@ -218,11 +218,11 @@
   });
 }
 
-void MirrorTask::add_status(json& to) const {
-  to["state"] = held() ? "acts" : "waits";
-  to["revision"] = lines_.revision();
-  to["age_ms"] = age_ms();
-  to["watches"] = stream_ != nullptr && alive_watch_;
+void MirrorTask::add_status(json& report) const {
+  report["state"] = held() ? "acts" : "waits";
+  report["revision"] = lines_.revision();
+  report["age_ms"] = age_ms();
+  report["watches"] = stream_ != nullptr && alive_watch_;
 }
 
 }  // namespace turntally::controller
--- a/controller/mirror.h
+++ b/controller/mirror.h
@@ -1,6 +1,6 @@
-// The task "mirror": the platform's discovery, followed by one watch for the whole fleet, written into the
-// registry under the lease. A grant begins with the whole list; a line that was not yet written when the
-// holder died is in the whole list that its successor asks for.
+// The task "mirror": follows the platform's discovery with one watch for the whole fleet, and writes its list
+// into the registry under the lease. Each grant begins with the whole list, which includes any line that a
+// previous holder had not yet written when it died.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -11,22 +11,23 @@
 
 namespace turntally::controller {
 
-// What is to be written of what discovery has told: lines that came meanwhile are one. A core: no I/O.
+// Holds the update from discovery that is to be written next. Merges lines that arrive before it is taken. No
+// I/O.
 class MirrorLines {
  public:
-  // A line as discovery writes it, which must be a whole list where nothing is known. Throws WatchBroken;
-  // nothing of it is heeded then.
+  // Adds a line of discovery. The first one must be a complete list. Throws WatchBroken, and changes nothing,
+  // if the line is not valid.
   void told(const std::string& line);
-  // What to write next, {"revision", "complete", "members"}; nothing where all is written.
+  // take() removes the next update, {"revision", "complete", "members"}, and returns it; null if empty().
   bool empty() const { return !pending_.is_object(); }
   nlohmann::json take() { return std::exchange(pending_, nlohmann::json()); }
-  // It was not written: goes before what has been told since.
+  // Takes back an update that was not written, and merges the lines added since into it.
   void put_back(const nlohmann::json& line);
   void forget();
-  int64_t revision() const { return revision_; }  // the last that was told; -1: nothing
+  int64_t revision() const { return revision_; }  // of the last line; -1: none
 
  private:
-  static void merge(nlohmann::json& into, const nlohmann::json& line);
+  static void merge(nlohmann::json& update, const nlohmann::json& line);
 
   nlohmann::json pending_;
   int64_t revision_ = -1;
@@ -35,19 +36,19 @@
 class MirrorTask : public Task {
  public:
   MirrorTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task);
-  int64_t age_ms()
-      const;  // since the list was last known to the registry to be current; -1: not in this grant
+  // Milliseconds since the registry last accepted an update or a confirmation; -1: not yet in this grant.
+  int64_t age_ms() const;
 
  private:
   void begun(const std::string& checkpoint) override;
   void ended() override;
-  void add_status(nlohmann::json& to) const override;
+  void add_status(nlohmann::json& report) const override;
 
-  void drop();  // what is known of discovery's list
-  void anew();  // with the whole list
+  void drop();  // and closes the watch
+  void anew();  // by fetching the whole list
   void fetch();
   void connect();
-  void later(void (MirrorTask::*what)());
+  void later(void (MirrorTask::*step)());
   bool line(const std::string& text);
   void write();
   void put(const nlohmann::json& line);
@@ -56,14 +57,14 @@
 
   MirrorLines lines_;
   std::shared_ptr<net::Lines> stream_;
-  bool alive_watch_ = false;  // a line came on this stream
-  bool out_now_ = false;      // a write: one at a time, as they come in order
-  uint64_t serial_ = 0;       // of the last one in this grant: one that was given up may still arrive
+  bool alive_watch_ = false;  // a line arrived on the current watch
+  bool out_now_ = false;      // only one at a time, to keep their order
+  uint64_t serial_ = 0;       // of the last write: one that timed out may still arrive later
   boost::asio::steady_timer pause_;
   boost::asio::steady_timer retry_;
   boost::asio::steady_timer confirm_;
   net::Backoff backoff_;
-  std::string identity_;  // of the registry's list that was written to
+  std::string identity_;  // of the registry's list at the last write
   net::Time written_ = 0;
 };
 
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -18,15 +18,15 @@
 using std::chrono::milliseconds;
 
 lease::LeaseClientSettings lease_client_settings(const Config& config, const TaskConfig& task) {
-  lease::LeaseClientSettings out;
-  out.holder = config.lease;
-  out.holder.name = task.name;
-  out.holder.holder = config.holder;
-  // Tasks of one process must not ask at the same moments.
-  out.holder.seed = net::mix(config.lease.seed ^ std::hash<std::string>()(task.name));
-  out.members = config.registry;
-  out.clock_rate = config.clock_rate;
-  return out;
+  lease::LeaseClientSettings settings;
+  settings.holder = config.lease;
+  settings.holder.name = task.name;
+  settings.holder.holder = config.holder;
+  // Different seeds, so that the tasks of one process do not call the registry at the same moments.
+  settings.holder.seed = net::mix(config.lease.seed ^ std::hash<std::string>()(task.name));
+  settings.members = config.registry;
+  settings.clock_rate = config.clock_rate;
+  return settings;
 }
 
 }  // namespace
@@ -73,10 +73,10 @@
   end_grant();
 }
 
-// What is out still has its grant: the lease goes back when the last of it is in.
+// Work in progress keeps its grant: the lease is released when the last of it has ended.
 void Task::wind_down() {
   if (!std::exchange(winds_down_, true)) {
-    log::info("lease_wanted_back", "task", config_.name, "out", outs_);
+    log::info("lease_releasing", "task", config_.name, "out", outs_);
     ended();
   }
   if (outs_ > 0) return;
@@ -107,46 +107,46 @@
   call.fields["X-Lease-Holder"] = holder_;
 }
 
-Task::Done Task::of_this_grant(Done done) {
+Task::ReplyCallback Task::of_this_grant(ReplyCallback done) {
   return [out = out(), done = std::move(done)](const std::optional<net::HttpReply>& reply) {
     if (out->stands()) done(reply);
   };
 }
 
-void Task::act(const net::tcp::endpoint& to, net::HttpCall call, Done done) {
+void Task::act(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
   add_fields(call);
   call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
   net::http_call(io_, to, std::move(call), of_this_grant(std::move(done)));
 }
 
-void Task::act_at_registry(net::HttpCall call, Done done) {
+void Task::act_at_registry(net::HttpCall call, ReplyCallback done) {
   add_fields(call);
   call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
   calls_.call(std::move(call), of_this_grant(std::move(done)));
 }
 
-// Reads change nothing: the lease goes back without them.
-Task::Done Task::while_it_stands(Done done) {
+// Reads change nothing, so the lease is released without waiting for them.
+Task::ReplyCallback Task::while_it_stands(ReplyCallback done) {
   return [this, alive = alive_, grant = grant_,
           done = std::move(done)](const std::optional<net::HttpReply>& reply) {
     if (*alive && grant_ == grant) done(reply);
   };
 }
 
-void Task::ask(const net::tcp::endpoint& to, net::HttpCall call, Done done) {
+void Task::ask(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
   net::http_call(io_, to, std::move(call), while_it_stands(std::move(done)));
 }
 
-void Task::ask_registry(net::HttpCall call, Done done) {
+void Task::ask_registry(net::HttpCall call, ReplyCallback done) {
   calls_.call(std::move(call), while_it_stands(std::move(done)));
 }
 
 void Task::save_checkpoint(const json& checkpoint, std::function<void()> done) {
   if (lease_client_.token() != token_ || !lease_client_.is_held()) return;
   lease_client_.save_checkpoint(checkpoint.dump(), [this, out = out(), done = std::move(done)](
-                                                       lease::LeaseClient::CheckpointResult how) {
+                                                       lease::LeaseClient::CheckpointResult result) {
     if (!out->stands()) return;
-    switch (how) {
+    switch (result) {
       case lease::LeaseClient::CheckpointResult::kDone:
         return done();
       case lease::LeaseClient::CheckpointResult::kFenced:
@@ -155,38 +155,38 @@
         return give_up();
       case lease::LeaseClient::CheckpointResult::kFailed:
         failed(NoAnswer("the registry, told what is done,"));
-        return done();  // the next one says it too; a successor repeats what was not kept
+        return done();  // the next checkpoint includes it; a successor repeats what was not saved
     }
   });
 }
 
-bool Task::went_well(const std::string& who, const std::optional<net::HttpReply>& reply) {
+bool Task::went_well(const std::string& callee, const std::optional<net::HttpReply>& reply) {
   if (!reply) {
-    failed(NoAnswer(who));
+    failed(NoAnswer(callee));
     return false;
   }
   if (reply->status >= 200 && reply->status < 300) return true;
   const json body = json::parse(reply->body, nullptr, false);
-  const auto text = [&](const char* key) {
+  const auto string_field = [&](const char* key) {
     return body.is_object() && body.contains(key) && body[key].is_string() ? body[key].get<std::string>()
                                                                            : "";
   };
-  if (reply->status == 409 && text("code") == "lease_fenced") {
+  if (reply->status == 409 && string_field("code") == "lease_fenced") {
     ++metrics_.fenced;
-    failed(Fenced(who));
+    failed(Fenced(callee));
     give_up();
     return false;
   }
-  failed(Refused(who, reply->status, text("error")));
+  failed(Refused(callee, reply->status, string_field("error")));
   return false;
 }
 
 void Task::failed(const net::Error& error) {
   ++metrics_.failures;
-  const json shown = {{"code", error.code()}, {"error", error.what()}, {"action", error.action()}};
+  const json description = {{"code", error.code()}, {"error", error.what()}, {"action", error.action()}};
   log::warn("task_failed", "task", config_.name, "code", error.code(), "why", error.what(), "action",
             error.action());
-  last_error_ = shown;
+  last_error_ = description;
   last_error_["at_ms"] = net::wall_now() / 1000;
 }
 
--- a/controller/task.h
+++ b/controller/task.h
@@ -1,5 +1,5 @@
-// What all tasks share: a lease of their own, acts that carry its token and are begun only while it is held,
-// and its return once nothing is out any more.
+// The base of all tasks: holds the task's lease, sends actions that carry its token and begin only while it
+// is held, and releases it once no work is in progress.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,17 +23,17 @@
   virtual ~Task();
 
   void start() { lease_client_.start(); }
-  // Lets what is out finish, gives the lease back. `closed` is called once.
+  // Waits for the work in progress, releases the lease and then calls `closed` once.
   void close(std::function<void()> closed);
 
   const std::string& name() const { return config_.name; }
   nlohmann::json status() const;
   struct Metrics {
     uint64_t grants = 0;
-    uint64_t acts = 0;      // that were answered well
-    uint64_t failures = 0;  // of any other end
-    uint64_t fenced = 0;    // refused for their token
-    net::Time acted = 0;    // when the last one was answered well, by the steady clock
+    uint64_t acts = 0;      // that succeeded
+    uint64_t failures = 0;  // all errors, of actions and reads
+    uint64_t fenced = 0;    // calls refused because of their token
+    net::Time acted = 0;    // when the last action succeeded, by the steady clock; 0: none
   };
   const Metrics& metrics() const { return metrics_; }
   lease::Token token() const { return token_; }
@@ -42,35 +42,37 @@
  protected:
   Task(boost::asio::io_context& io, const Config& config, TaskConfig task);
 
-  // A grant begins, with what the holders before have left; it ends: no act of it begins any more.
+  // Called when a grant begins, with the checkpoint of the previous holder, and when no action of it may
+  // begin any more. The latter may be called twice for a grant.
   virtual void begun(const std::string& checkpoint) = 0;
   virtual void ended() = 0;
-  virtual void add_status(nlohmann::json& to) const = 0;
+  virtual void add_status(nlohmann::json& report) const = 0;
 
-  // Right before each act; also no where the lease is wanted back.
+  // Must be checked right before each action. False also while the lease is being released.
   bool may_act() const {
     return !winds_down_ && token_ != 0 && lease_client_.token() == token_ && lease_client_.is_held();
   }
-  // Whatever is out keeps one of these: the lease goes back only when none is left. Has the grant's number,
-  // which nothing of an earlier grant has.
+  // Kept by work in progress: the lease is released only when none is left. Has the number of its grant, by
+  // which work of an earlier grant is recognized.
   class Out;
   std::shared_ptr<Out> out();
 
-  // An act, with the lease's fields; `done` gets the answer, or nothing, if the same grant still stands then.
-  // It ends with the time in which acts may begin.
-  using Done = std::function<void(const std::optional<net::HttpReply>&)>;
-  void act(const net::tcp::endpoint& to, net::HttpCall call, Done done);
-  void act_at_registry(net::HttpCall call, Done done);
-  void ask(const net::tcp::endpoint& to, net::HttpCall call, Done done);  // reads only
-  void ask_registry(net::HttpCall call, Done done);
+  // Sends an action with the lease's header fields. `done` receives the reply, or nothing if none came; it is
+  // not called once the grant has ended. The timeout is limited to the time in which actions may begin.
+  using ReplyCallback = std::function<void(const std::optional<net::HttpReply>&)>;
+  void act(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done);
+  void act_at_registry(net::HttpCall call, ReplyCallback done);
+  void ask(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done);  // carries no lease fields
+  void ask_registry(net::HttpCall call, ReplyCallback done);
   void save_checkpoint(const nlohmann::json& checkpoint,
-                       std::function<void()> done);  // `done`: it is kept
+                       std::function<void()> done);  // `done`: saved, or not answered
 
-  // Whether it went well. What did not is logged and shown; a fence ends the grant.
-  bool went_well(const std::string& who, const std::optional<net::HttpReply>& reply);
+  // Returns whether the reply is a success. Otherwise records the failure, and abandons the lease after a
+  // fence.
+  bool went_well(const std::string& callee, const std::optional<net::HttpReply>& reply);
   void failed(const net::Error& error);
   void acted();
-  void give_up();  // the lease, and campaign again
+  void give_up();  // and campaigns again
   bool gave_up() const { return gave_up_; }
 
   boost::asio::io_context& io_;
@@ -82,17 +84,17 @@
   void stop(const std::string& why);
   void wind_down();
   void add_fields(net::HttpCall& call) const;
-  Done of_this_grant(Done done);
-  Done while_it_stands(Done done);
+  ReplyCallback of_this_grant(ReplyCallback done);
+  ReplyCallback while_it_stands(ReplyCallback done);
   void end_grant();
 
   lease::RegistryCaller calls_;
   lease::LeaseClient lease_client_;
-  lease::Token token_ = 0;  // of the grant that was begun here; 0 where none stands
-  uint64_t grant_ = 0;      // its number
+  lease::Token token_ = 0;  // of the current grant; 0: none
+  uint64_t grant_ = 0;      // of the current grant; 0: none
   uint64_t grants_ = 0;
-  size_t outs_ = 0;          // of the grant that stands, or of the last one
-  bool winds_down_ = false;  // the lease is wanted back: nothing begins
+  size_t outs_ = 0;          // of the current or the last grant
+  bool winds_down_ = false;  // no action begins any more
   bool gave_up_ = false;
   bool closes_ = false;
   std::function<void()> closed_;
