--- a/include/turntally/settings.h
+++ b/include/turntally/settings.h
@@ -28,7 +28,7 @@
   Time latency_objective = 0;  // a message delivered within it has its full weight
   Time max_lifetime = 0;       // from the first submission to the deadline
   double priority_weight = 1;
-  double late_weight_share = 0;  // share of the weight that remains at the deadline, from 0 to 1
+  double late_weight_share = 0;  // share of the weight that remains at the deadline
   bool operator==(const ClassSettings&) const = default;
 };
 
@@ -75,15 +75,14 @@
   Time tick = 0;                          // resolution of the caller's clock
   Time connection_idle_timeout = 0;       // connections idle for longer are not reused
   Time connect_timeout = 0;
-  Time max_retry_after = 0;      // upper bound of the retry_after of a Reject; 0: none
-  Time answer_slack = 0;         // allowed time from a message's deadline to its final answer
-  Time drain_grace = 0;          // how long a draining endpoint may still be sent calls
-  Time list_poll_interval = 0;   // half of it bounds the pause before a watch is opened again
-  Time ordering_pause = 0;       // after a call with unknown outcome, before the next message of its key
-  Time slow_start_duration = 0;  // within it, a destination regains all its capacity after an outage
-  Time overload_window = 0;      // a destination in slow start fails again when overloaded for this long
-  double overload_factor =
-      1;  // a destination in slow start is overloaded above this multiple of its capacity
+  Time max_retry_after = 0;           // upper bound of the retry_after of a Reject; 0: none
+  Time answer_slack = 0;              // allowed time from a message's deadline to its final answer
+  Time drain_grace = 0;               // how long a draining endpoint may still be sent calls
+  Time list_poll_interval = 0;        // half of it bounds the pause before a watch is opened again
+  Time ordering_pause = 0;            // after a call with unknown outcome, before the next message of its key
+  Time slow_start_duration = 0;       // within it, a destination regains all its capacity after an outage
+  Time overload_window = 0;           // a destination in slow start fails again when overloaded for this long
+  double overload_factor = 1;         // in slow start: overloaded above this multiple of its capacity
   double initial_capacity_share = 1;  // share of its capacity that a destination has when it recovers
   double cost_cross_zone = 0;
   double cost_handshake = 0;
--- a/tests/policy/checked_policy.h
+++ b/tests/policy/checked_policy.h
@@ -30,7 +30,7 @@
     return actions;
   }
 
-  // Runs steps without events from `from` to `to`, as timers would, and returns all_actions their actions.
+  // Runs steps without events from `from` to `to`, as timers would, and returns all their actions.
   std::vector<Action> run_empty_steps(Time from, Time to, Time interval = 50'000) {
     std::vector<Action> all_actions;
     for (Time t = from; t <= to; t += interval) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -545,7 +545,7 @@
   EXPECT_EQ(actions_of<SendAttempt>(relay.step(now, events)).size(), 10u);
 }
 
-// Rejections by a limit shared with other relays decrease the send rate.
+// Rejections by a limit shared with other relays decrease the send rate, and do not mean an outage.
 TEST(RateLimiter, DecreasesSendRateOnRejections) {
   Settings settings = default_settings();
   settings.weights = Weights::kNominal;
@@ -959,8 +959,8 @@
   relay.step(2 * kSecond, {attempt_ended(sends[0], 2, Outcome::kOk)});
 }
 
-// Without the persisted state, a restarted relay would send all step_with_resumed_message messages at once to
-// a destination that is down or in slow start.
+// Without the persisted state, a restarted relay would send all resumed messages at once to a destination
+// that is down or in slow start.
 TEST(Restart, RestoresOutagesAndRetryBudgets) {
   const Settings settings = default_settings();
   DestinationState last;
@@ -1127,7 +1127,7 @@
   EXPECT_GT(actions_of<Reject>(actions)[0].retry_after, 0);
   EXPECT_EQ(actions_of<Reject>(relay.step(kSecond, {relay.message(2, kSecond)})).size(), 1u);
   EXPECT_EQ(actions_of<SendAttempt>(relay.step(kSecond, {relay.message(3, kSecond, 0, 2)})).size(), 1u);
-  // A message whose deadline is after the end of the retry-after is not rejected.
+  // A message to another destination is sent, and one that outlives the retry-after is not rejected.
   EXPECT_TRUE(actions_of<Reject>(relay.step(15 * kSecond, {relay.message(4, 15 * kSecond)})).empty());
 }
 
