--- a/net/address.cpp
+++ b/net/address.cpp
@@ -11,7 +11,7 @@
 namespace turntally::net {
 namespace {
 
-constexpr std::chrono::seconds kMostShortage{5};
+constexpr std::chrono::seconds kMaxShortageTime{5};
 constexpr std::chrono::milliseconds kShortagePause{10};
 
 }  // namespace
@@ -30,9 +30,9 @@
 
 void listen(tcp::acceptor& acceptor, const tcp::endpoint& address) {
   boost::system::error_code error;
-  const auto until = std::chrono::steady_clock::now() + kMostShortage;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxShortageTime;
   acceptor.open(address.protocol(), error);
-  while (is_passing_shortage(error) && std::chrono::steady_clock::now() < until) {
+  while (is_passing_shortage(error) && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kShortagePause);
     acceptor.open(address.protocol(), error);
   }
--- a/net/address.h
+++ b/net/address.h
@@ -1,4 +1,4 @@
-// Addresses as the project writes them: "127.0.0.1:80".
+// Parsing and formatting of TCP addresses such as "127.0.0.1:80", and listening on them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,10 +8,10 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Throws std::invalid_argument.
+// Parses an IP address with a port. Throws std::invalid_argument if the text is anything else.
 tcp::endpoint parse_address(const std::string& text);
-// Opens the acceptor there, also where a connection of before lingers. Where sockets run short it tries again
-// for 5 s: blocks so long. Throws CannotListen.
+// Binds the acceptor to the address and listens, also while connections of an earlier process linger on it.
+// Retries for up to 5 s, blocking, while sockets run short. Throws ListenError.
 void listen(tcp::acceptor& acceptor, const tcp::endpoint& address);
 std::string text_of(const tcp::endpoint& address);
 
--- a/net/backoff.cpp
+++ b/net/backoff.cpp
@@ -7,39 +7,41 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kFirst{50};
-constexpr milliseconds kLongest{2000};
-// Discovery gives a call up that waited for 2 s, and deals with it all the same: once more than 2 s of work
-// wait, no call succeeds until callers let it catch up. A fleet of any size has been seen to be some 5 s of
-// work, at most 6.2 s (0.3 s for each of 6 callers, 0.13 of 30, 0.08 of 60, 0.02 of 300): called once by each
-// over 3.8 s, 1.6 to 2.4 s of it wait at the end. A call that is answered was so within 2 s, and a connection
-// and a request take 0.15 s: then its caller is never without news for over 6 s, the bound to be kept. Longer
-// pauses would break that bound, shorter ones make discovery give everyone up.
-constexpr milliseconds kBound{3800};
-constexpr milliseconds kEach{130};  // for each other caller, below that
+constexpr milliseconds kMinInitialSpan{50};
+constexpr milliseconds kMinMaxSpan{2000};
+// Upper bound of the span. Discovery gives up a call that has waited for 2 s but still processes it, so once
+// more than 2 s of work is queued, no call succeeds until the callers let it catch up. One call from each
+// caller of a fleet, whatever its size, is about 5 s of work, at most 6.2 s (0.3 s for each of 6 callers,
+// 0.13 s of 30, 0.08 s of 60, 0.02 s of 300). Spread over 3.8 s, 1.6 to 2.4 s of it are queued at the end. A
+// call that is answered is answered within 2 s, and a connection and a request take 0.15 s, so no caller is
+// without news for longer than the 6 s allowed. A longer span would break that requirement; a shorter one
+// would make discovery give up every call.
+constexpr milliseconds kMaxSpan{3800};
+constexpr milliseconds kSpanPerCaller{130};  // of the initial span, for each other caller
 
 }  // namespace
 
 Backoff::Backoff(int callers, uint64_t seed)
-    : first_(std::clamp((callers - 1) * kEach, kFirst, kBound)),
-      longest_(std::clamp(2 * first_, kLongest, kBound)),
-      span_(first_),
+    : initial_span_(std::clamp((callers - 1) * kSpanPerCaller, kMinInitialSpan, kMaxSpan)),
+      max_span_(std::clamp(2 * initial_span_, kMinMaxSpan, kMaxSpan)),
+      current_span_(initial_span_),
       random_(seed) {}
 
-milliseconds Backoff::next(milliseconds most) {
-  const milliseconds pause = drawn(milliseconds(0), std::min(span_, most));
-  span_ = std::min(2 * span_, longest_);
+milliseconds Backoff::next(milliseconds max_delay) {
+  const milliseconds pause = draw(milliseconds(0), std::min(current_span_, max_delay));
+  current_span_ = std::min(2 * current_span_, max_span_);
   return pause;
 }
 
-milliseconds Backoff::again(milliseconds since) {
-  const milliseconds distance = span_;
-  span_ = std::min(2 * span_, longest_);
-  return std::max(milliseconds(0), distance - since);
+milliseconds Backoff::again(milliseconds call_duration) {
+  const milliseconds distance = current_span_;
+  current_span_ = std::min(2 * current_span_, max_span_);
+  return std::max(milliseconds(0), distance - call_duration);
 }
 
-milliseconds Backoff::drawn(milliseconds least, milliseconds most) {
-  return milliseconds(std::uniform_int_distribution<milliseconds::rep>(least.count(), most.count())(random_));
+milliseconds Backoff::draw(milliseconds min_delay, milliseconds max_delay) {
+  return milliseconds(
+      std::uniform_int_distribution<milliseconds::rep>(min_delay.count(), max_delay.count())(random_));
 }
 
 }  // namespace turntally::net
--- a/net/backoff.h
+++ b/net/backoff.h
@@ -1,6 +1,7 @@
-// When one of many callers calls a service that all share and that deals with one call after another: what
-// ended or began the calls of one did so at the others too. Exponential backoff with jitter (Brooker 2015),
-// up to a bound that holds however many callers there are: what the service has to tell may be only so old.
+// Randomized exponential backoff (Brooker 2015) for many callers of one shared service that handles calls
+// one after another. What starts or ends the calls of one caller does so for the others at the same moment,
+// so their next calls are spread over a span that doubles up to a bound. The bound holds for any number of
+// callers, as it limits how old the information of a caller may get.
 #pragma once
 
 #include <chrono>
@@ -13,20 +14,21 @@
  public:
   Backoff(int callers, uint64_t seed);
 
-  // The pause before the next call; the one after it may be longer. `most`: where that call must not wait
-  // longer.
-  std::chrono::milliseconds next(std::chrono::milliseconds most = std::chrono::milliseconds::max());
-  // The same after a call that failed and began so long ago: calls keep a distance from one beginning to the
-  // next, so callers that are spread stay spread, and the time that a failure takes is not added.
-  std::chrono::milliseconds again(std::chrono::milliseconds since);
-  void reset() { span_ = first_; }  // a call was answered
+  // Returns a random delay before the next call, at most the current span and `max_delay`, and doubles the
+  // span up to its bound.
+  std::chrono::milliseconds next(std::chrono::milliseconds max_delay = std::chrono::milliseconds::max());
+  // Returns the delay after a call that failed `call_duration` after its start, and doubles the span. The
+  // span separates the starts of calls, so that callers stay spread and the duration of a failed call is not
+  // added.
+  std::chrono::milliseconds again(std::chrono::milliseconds call_duration);
+  void reset() { current_span_ = initial_span_; }  // after a call that was answered
 
  private:
-  std::chrono::milliseconds drawn(std::chrono::milliseconds least, std::chrono::milliseconds most);
+  std::chrono::milliseconds draw(std::chrono::milliseconds min_delay, std::chrono::milliseconds max_delay);
 
-  std::chrono::milliseconds first_;
-  std::chrono::milliseconds longest_;
-  std::chrono::milliseconds span_;
+  std::chrono::milliseconds initial_span_;
+  std::chrono::milliseconds max_span_;
+  std::chrono::milliseconds current_span_;
   std::mt19937_64 random_;
 };
 
--- a/net/clock.h
+++ b/net/clock.h
@@ -1,4 +1,4 @@
-// The two clocks, in microseconds.
+// The steady clock and the wall clock, in microseconds.
 #pragma once
 
 #include <chrono>
@@ -8,23 +8,23 @@
 
 using Time = int64_t;  // microseconds
 
-// For decisions and time-outs.
+// Returns the time of the steady clock, for decisions and timeouts.
 inline Time steady_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-// For what outlasts the process.
+// Returns the time of the wall clock, for data that outlives the process.
 inline Time wall_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-// The steady clock's point, for timers.
-inline std::chrono::steady_clock::time_point at_time(Time t) {
-  return std::chrono::steady_clock::time_point(std::chrono::microseconds(t));
+// Converts a time of steady_now() for use with timers.
+inline std::chrono::steady_clock::time_point at_time(Time time) {
+  return std::chrono::steady_clock::time_point(std::chrono::microseconds(time));
 }
 
 }  // namespace turntally::net
--- a/net/error.h
+++ b/net/error.h
@@ -1,6 +1,6 @@
-// The base of the project's errors: each kind of failure is a type of its own in the folder that raises it.
-// Three things go with every one: a stable code for programs, what happened, and what an operator can do.
-// HTTP answers, log lines and the command line carry all three; docs/errors.md lists them.
+// The base class of the project's errors. Each kind of failure is a class of its own in the folder that
+// raises it, with a stable code for programs, a description of what happened, and an action for the
+// operator. HTTP replies, log lines and the command line show all three; docs/errors.md lists them.
 #pragma once
 
 #include <stdexcept>
@@ -9,36 +9,36 @@
 
 namespace turntally::net {
 
-// What a shell's exit status says.
+// The kind of a failure, which determines the exit status of the command line.
 enum class Family {
-  kBroken,   // something failed, or did not hold: 1
-  kMisuse,   // the command or its input is wrong: 2
-  kRefused,  // asked rightly, and refused as things stand: 3
-  kUnknown   // it may have been done: 4
+  kBroken,   // exit status 1: an operation failed or a check did not hold
+  kMisuse,   // exit status 2: the command or its input is invalid
+  kRefused,  // exit status 3: a valid request that the current state does not permit
+  kUnknown   // exit status 4: the operation may or may not have been carried out
 };
 
-// The action of `lease_fenced`: registry, relay and controller answer or log it alike.
+// The action of `lease_fenced`, which registry, relay and controller report alike.
 inline constexpr char kFencedAction[] =
     "after a hand-over or a stop, nothing: the holder of now goes on; else turntally registry status shows "
     "it";
 
 class Error : public std::runtime_error {
  public:
-  // `code`: lower case with underscores, never changed once released. `what`: one line. `action`: one line.
-  Error(std::string code, Family family, const std::string& what, std::string action)
-      : std::runtime_error(what), code_(std::move(code)), family_(family), action_(std::move(action)) {}
+  // `code`: lower case with underscores, never changed once released. `what` and `action`: one line each.
+  Error(std::string code, Family kind, const std::string& what, std::string action)
+      : std::runtime_error(what), code_(std::move(code)), kind_(kind), action_(std::move(action)) {}
 
   const char* code() const { return code_.c_str(); }
-  Family family() const { return family_; }
+  Family family() const { return kind_; }
   const std::string& action() const { return action_; }
 
  private:
-  std::string code_;  // not always a literal: an answer may name it
-  Family family_;
+  std::string code_;  // not always a literal: it may come from the reply of another process
+  Family kind_;
   std::string action_;
 };
 
-// What a user has to mend in what they wrote. One line: "FILE:LINE: KEY: what is wrong".
+// Invalid input that the user has to correct. `what` is one line: "FILE:LINE: KEY: what is wrong".
 class BadInput : public Error {
  public:
   explicit BadInput(const std::string& what)
@@ -47,9 +47,9 @@
 
 class CannotListen : public Error {
  public:
-  CannotListen(const std::string& address, const std::string& why)
-      : Error("cannot_listen", Family::kBroken, "cannot listen at " + address + ": " + why,
-              "see what else listens there, or name another address") {}
+  CannotListen(const std::string& address, const std::string& reason)
+      : Error("cannot_listen", Family::kBroken, "cannot listen at " + address + ": " + reason,
+              "stop the process that listens there, or configure another address") {}
 };
 
 }  // namespace turntally::net
--- a/net/files.cpp
+++ b/net/files.cpp
@@ -8,20 +8,21 @@
 namespace turntally::net {
 namespace {
 
-constexpr std::chrono::milliseconds kPause{10};
+constexpr std::chrono::milliseconds kRetryPause{10};
 
-bool may_pass(int code) {
+bool is_transient(int code) {
   return code == EMFILE || code == ENFILE || code == ENOMEM || code == EINTR || code == ENOSPC || code == EIO;
 }
 
 }  // namespace
 
-int open_file(const std::filesystem::path& path, int flags, std::chrono::milliseconds patience, mode_t mode) {
-  const auto until = std::chrono::steady_clock::now() + patience;
+int open_file(const std::filesystem::path& path, int flags, std::chrono::milliseconds retry_time,
+              mode_t mode) {
+  const auto deadline = std::chrono::steady_clock::now() + retry_time;
   while (true) {
     const int file = ::open(path.c_str(), flags | O_CLOEXEC, mode);
-    if (file >= 0 || !may_pass(errno) || std::chrono::steady_clock::now() >= until) return file;
-    std::this_thread::sleep_for(kPause);
+    if (file >= 0 || !is_transient(errno) || std::chrono::steady_clock::now() >= deadline) return file;
+    std::this_thread::sleep_for(kRetryPause);
   }
 }
 
--- a/net/http.h
+++ b/net/http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 on Beast: a server whose answers may be endless, and a caller. Loopback and trusted networks only:
-// no TLS, no sign-in.
+// HTTP/1.1 on Beast: a server that can also send endless responses, and a client. For loopback and trusted
+// networks only: no TLS and no authentication.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,15 +17,15 @@
 
 namespace turntally::net {
 
-// A body that many answers share: encoded once, sent many times.
+// A body shared by many responses: encoded once, sent many times.
 using Shared = std::shared_ptr<const std::string>;
 
 struct HttpRequest {
   std::string method;                         // "GET"
   std::string path;                           // decoded, without the query
-  std::string target;                         // as it came
-  std::map<std::string, std::string> query;   // decoded; the last of each name
-  std::map<std::string, std::string> fields;  // names in lower case; the last of each name
+  std::string target;                         // as received
+  std::map<std::string, std::string> query;   // decoded; a repeated name has its last value
+  std::map<std::string, std::string> fields;  // names in lower case; a repeated name has its last value
   std::string body;
 };
 
@@ -36,63 +36,66 @@
   std::map<std::string, std::string> fields;
 };
 
-// An answer without an end, in chunks. One write is out at a time.
+// A chunked response without a defined end. At most one write is in progress at a time.
 class HttpStream {
  public:
   virtual ~HttpStream() = default;
-  // False while a write is out, and once it has ended.
+  // Returns whether a chunk can be written: no write is in progress and the stream has not ended.
   virtual bool idle() const = 0;
-  // Only while idle. `chunk` comes from http_chunk().
+  // Sends a chunk made by http_chunk(). Requires is_idle().
   virtual void write(Shared chunk) = 0;
   virtual void close() = 0;
 };
 
 std::string http_chunk(const std::string& text);
 
-// How a request is answered: once, by one of the two. May outlive the connection: then nothing is sent.
+// Answers one request, by one call of either function. May outlive the connection; then nothing is sent.
 class HttpAnswer {
  public:
   virtual ~HttpAnswer() = default;
   virtual void reply(HttpReply reply) = 0;
-  // `written` is called after each write, `ended` once, unless it was closed from here.
+  // Starts an endless response. `written` is called after each write. `ended` is called once when the stream
+  // ends, unless it was ended by close().
   virtual std::shared_ptr<HttpStream> stream(const HttpReply& head, std::function<void()> written,
                                              std::function<void()> ended) = 0;
 };
 
 struct HttpLimits {
-  // Beyond it the oldest that has no call on it goes, else the oldest stream; while each waits for its answer
-  // no other is let in.
+  // Above this number the oldest connection without a request is closed, or else the oldest stream. While
+  // all of them await a response, no further connection is accepted.
   size_t connections = 12'000;
-  size_t body = size_t{8} * 1024 * 1024;    // bytes, of a request
-  std::chrono::milliseconds idle{60'000};   // between requests, and for the bytes of one
-  std::chrono::milliseconds write{30'000};  // for an answer, or a chunk, that is not read
-  std::chrono::milliseconds linger{2'000};  // for the caller's close, after the last answer
+  size_t body = size_t{8} * 1024 * 1024;    // of a request
+  std::chrono::milliseconds idle{60'000};   // for the next request to arrive completely
+  std::chrono::milliseconds write{30'000};  // for the peer to read a response or a chunk
+  std::chrono::milliseconds linger{2'000};  // for the peer to close after the last response
 };
 
 class HttpServer {
  public:
   using Handle = std::function<void(const HttpRequest&, const std::shared_ptr<HttpAnswer>&)>;
 
-  // Listens at once; throws CannotListen.
+  // Starts listening. Throws ListenError.
   HttpServer(boost::asio::io_context& io, const tcp::endpoint& listen, HttpLimits limits, Handle handle);
   ~HttpServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  size_t connections() const { return open_.size(); }
-  size_t unread() const { return unread_; }  // streams that were ended because their chunk was not read
+  size_t connections() const { return sessions_.size(); }
+  // Returns the number of streams closed because the peer did not read a chunk in time.
+  size_t unread() const { return dropped_streams_; }
 
  private:
   class Session;
   void accept();
-  void make_room(bool newest);  // whose turn to go may be the newest's as well
+  void make_room(bool may_close_newest);  // `may_close_newest`: the newest connection may be closed as well
 
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer accept_timer_;
   HttpLimits limits_;
   Handle handle_;
-  std::list<std::shared_ptr<Session>> open_;  // oldest first
-  size_t unread_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is queued may outlive the server
+  std::list<std::shared_ptr<Session>> sessions_;  // oldest first
+  size_t dropped_streams_ = 0;
+  // Expires for queued handlers, which may outlive the server.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 struct HttpCall {
@@ -101,13 +104,15 @@
   std::map<std::string, std::string> fields;
   std::string body;
   std::chrono::milliseconds timeout{2000};
-  std::function<void()> connected = nullptr;  // before it, nothing of the call can have arrived
+  // Called once connected; before that, no byte of the request can have arrived.
+  std::function<void()> connected = nullptr;
 };
 
-// nothing: no connection, no whole answer in time. The connection is one of its own.
+// Sends a request on a connection of its own. `done` receives nothing if there was no connection or no
+// complete response in time.
 void http_call(boost::asio::io_context& io, const tcp::endpoint& to, HttpCall call,
                std::function<void(std::optional<HttpReply>)> done);
-// The same for a thread that may wait.
+// Sends a request and blocks until it has ended.
 std::optional<HttpReply> http_call(const tcp::endpoint& to, HttpCall call);
 
 }  // namespace turntally::net
--- a/net/json_splitter.h
+++ b/net/json_splitter.h
@@ -1,6 +1,6 @@
-// Where one JSON text ends and the next begins in a stream of them. Discovery writes one to a line as a rule,
-// but may indent it over many, and bytes come in pieces of any size. Linear in what comes; whether a text is
-// JSON its reader says.
+// Splits a stream of JSON texts. Discovery usually writes one text per line but may indent a text over
+// several lines, and bytes arrive in pieces of any size. Runs in time linear in the input. Whether a text is
+// valid JSON is left to its reader.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,32 @@
 
 class JsonSplitter {
  public:
-  void add(const std::string& bytes) { held_ += bytes; }
-  // The next whole text, without its line's end; an empty one for an empty line between texts. A line that
-  // begins no object or list is a text by itself, and so is one that breaks off within a string: neither can
-  // be read.
+  void add(const std::string& bytes) { buffer_ += bytes; }
+  // Returns the next complete text without its line end, or an empty text for an empty line between texts. A
+  // line that begins with neither an object nor a list is returned as a text of its own, and so is a text
+  // that breaks off within a string; neither is valid JSON.
   std::optional<std::string> next();
 
-  bool within() const { return depth_ > 0; }            // a text has begun and not ended
-  size_t size() const { return held_.size() - done_; }  // bytes that are held back until it ends
-  uint64_t told() const { return told_; }               // bytes so far that say something: all but blanks
+  bool within() const { return depth_ > 0; }                      // a text has begun and has not ended
+  size_t size() const { return buffer_.size() - returned_end_; }  // bytes not yet returned
+  // Returns how many bytes other than blanks next() has scanned.
+  uint64_t told() const { return non_blank_bytes_; }
 
  private:
-  std::string take(size_t end);
+  std::string take_text(size_t end);
   bool ends_text(char c);
-  void drop_handed_out();
+  void discard_returned();
 
-  std::string held_;
-  size_t done_ = 0;                   // before it everything has been handed out
-  size_t at_ = 0;                     // looked at so far
-  size_t begin_ = std::string::npos;  // of the text that is looked at
+  std::string buffer_;
+  size_t returned_end_ = 0;                // end of the part that has been returned
+  size_t scanned_end_ = 0;                 // end of the part that has been scanned
+  size_t text_begin_ = std::string::npos;  // start of the current text; npos: none has begun
   int depth_ = 0;
-  bool quoted_ = false;
+  bool in_string_ = false;
   bool escaped_ = false;
-  bool plain_ = false;  // a line that begins no object or list
-  bool said_ = false;   // a text ended on this line
-  uint64_t told_ = 0;
+  bool is_unstructured_line_ = false;  // the current line begins with neither an object nor a list
+  bool text_ended_on_line_ = false;    // a text ended on the current line
+  uint64_t non_blank_bytes_ = 0;
 };
 
 }  // namespace turntally::net
--- a/net/lines.h
+++ b/net/lines.h
@@ -1,4 +1,5 @@
-// An endless answer of JSON texts, each on a line or on many, over HTTP/1.1 on a connection of its own.
+// An endless HTTP/1.1 response of JSON texts, each on one line or on several, read over a connection of its
+// own.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,46 +19,47 @@
 
 class Lines : public std::enable_shared_from_this<Lines> {
  public:
-  // Called with each text, without its line's end, and with an empty one for an empty line between texts;
-  // false where it cannot be read: then the stream ends.
+  // Called with each text without its line end, and with an empty text for an empty line between texts.
+  // Returns false if the text cannot be read; the stream then ends.
   using Line = std::function<bool(const std::string&)>;
   enum class End {
-    kFailed,     // no connection, or no answer of 200
-    kEnded,      // by the other side
-    kSilent,     // open, and nothing came for too long: what it has missed is not known
-    kUnreadable  // `line` said so, or a text has no end
+    kFailed,     // no connection, or a status other than 200
+    kEnded,      // by the peer
+    kSilent,     // open, but without data for too long: events may have been missed
+    kUnreadable  // rejected by the handler, or a text that takes too long or too many bytes
   };
-  static const char* name_of(End how);  // "failed", "ended", "silent", "unreadable"
+  static const char* name_of(End reason);  // "failed", "ended", "silent", "unreadable"
 
-  // `silence`: the longest time between two things that come, and up to the first one. Within a text blanks
-  // do not count, and it must end within `kMostText` of that. Nothing is called after close().
+  // `read_timeout`: the longest time without data, also before the first text. Blanks within a text do not
+  // count as data, and a text must end within kTextTimeoutFactor times that time. No handler is called after
+  // close().
   static constexpr int kMostText = 4;
-  Lines(boost::asio::io_context& io, const tcp::endpoint& address, std::chrono::milliseconds silence,
-        Line line, std::function<void(End)> ended);
+  Lines(boost::asio::io_context& io, const tcp::endpoint& address, std::chrono::milliseconds read_timeout,
+        Line on_text, std::function<void(End)> on_ended);
 
-  // Once. `target`: the path with its query.
+  // Connects and sends the request. Called once. `target`: the path with its query.
   void start(const std::string& target);
-  // For good; `ended` is not called.
+  // Closes the connection for good, without a call of `on_ended`.
   void close();
   const tcp::endpoint& address() const { return address_; }
 
  private:
   void read();
-  void take_body(bool last);
-  void heard();
-  void end(End how);
+  void take_body(bool is_last);
+  void restart_read_timer();
+  void end(End reason);
 
   tcp::endpoint address_;
-  std::chrono::milliseconds silence_;
-  Line line_;
-  std::function<void(End)> ended_;  // empty once it is closed
+  std::chrono::milliseconds read_timeout_;
+  Line on_text_;
+  std::function<void(End)> on_ended_;  // empty once the stream is closed
   Stream stream_;
-  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer read_timer_;
   boost::beast::http::request<boost::beast::http::empty_body> request_;
   boost::beast::flat_buffer buffer_;
   boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
-  JsonSplitter texts_;
-  std::chrono::steady_clock::time_point whole_;  // when the last text ended, or none had begun
+  JsonSplitter splitter_;
+  std::chrono::steady_clock::time_point last_text_end_;  // when a text last ended or none had begun
 };
 
 }  // namespace turntally::net
--- a/net/linger.cpp
+++ b/net/linger.cpp
@@ -10,18 +10,18 @@
 
 struct Linger : std::enable_shared_from_this<Linger> {
   Stream& stream;
-  size_t left;
-  std::function<void()> over;
-  std::array<char, size_t{16} * 1024> rest;
+  size_t bytes_left;
+  std::function<void()> done;
+  std::array<char, size_t{16} * 1024> buffer;
 
-  Linger(Stream& ended, size_t bytes, std::function<void()> then)
-      : stream(ended), left(bytes), over(std::move(then)) {}
+  Linger(Stream& closing_stream, size_t max_bytes, std::function<void()> on_done)
+      : stream(closing_stream), bytes_left(max_bytes), done(std::move(on_done)) {}
 
   void read() {
-    stream.async_read_some(boost::asio::buffer(rest),
+    stream.async_read_some(boost::asio::buffer(buffer),
                            [self = shared_from_this()](const Error& error, size_t count) {
-                             if (error || count > self->left) return self->over();
-                             self->left -= count;
+                             if (error || count > self->bytes_left) return self->done();
+                             self->bytes_left -= count;
                              self->read();
                            });
   }
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-void linger(Stream& stream, LingerLimits most, std::function<void()> over) {
+void linger(Stream& stream, LingerLimits limits, std::function<void()> done) {
   Error ignored;
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-  stream.expires_after(most.time);
-  std::make_shared<Linger>(stream, most.bytes, std::move(over))->read();
+  stream.expires_after(limits.time);
+  std::make_shared<Linger>(stream, limits.bytes, std::move(done))->read();
 }
 
 }  // namespace turntally::net
--- a/net/linger.h
+++ b/net/linger.h
@@ -1,4 +1,4 @@
-// The end of a connection whose peer may still be sending.
+// Orderly close of a connection whose peer may still be sending.
 #pragma once
 
 #include <chrono>
@@ -14,9 +14,9 @@
   std::chrono::milliseconds time{0};
 };
 
-// A close over unread bytes would be a reset, which may overtake the last answer: the sending side ends, and
-// what still comes is thrown away, until the peer ends too or up to a limit. Then, once, `over`, which keeps
-// the stream until then.
-void linger(Stream& stream, LingerLimits most, std::function<void()> over);
+// Shuts down the sending side and discards what still arrives until the peer closes too or a limit is
+// reached, then calls `done` once. Closing a socket with unread bytes would send a reset, which may overtake
+// the last response. `done` must keep the stream alive until it is called.
+void linger(Stream& stream, LingerLimits limits, std::function<void()> done);
 
 }  // namespace turntally::net
--- a/net/log.cpp
+++ b/net/log.cpp
@@ -13,15 +13,16 @@
                                 spdlog::level::err};
 constexpr std::array kNames = {"debug", "info", "warn", "error"};
 
-Level least = Level::kInfo;
+Level min_level = Level::kInfo;
 
 // Each process has one thread that logs; the sink flushes each line.
 spdlog::logger& logger() {
   static const auto kLogger = [] {
-    auto out = std::make_unique<spdlog::logger>("log", std::make_shared<spdlog::sinks::stderr_sink_mt>());
-    out->set_pattern("time=%Y-%m-%dT%H:%M:%S.%fZ level=%l %v", spdlog::pattern_time_type::utc);
-    out->set_level(spdlog::level::debug);
-    return out;
+    auto stderr_logger =
+        std::make_unique<spdlog::logger>("log", std::make_shared<spdlog::sinks::stderr_sink_mt>());
+    stderr_logger->set_pattern("time=%Y-%m-%dT%H:%M:%S.%fZ level=%l %v", spdlog::pattern_time_type::utc);
+    stderr_logger->set_level(spdlog::level::debug);
+    return stderr_logger;
   }();
   return *kLogger;
 }
@@ -30,12 +31,12 @@
 
 void set_level(const std::string& name) {
   for (size_t i = 0; i < kNames.size(); ++i) {
-    if (name == kNames[i]) return void(least = static_cast<Level>(i));
+    if (name == kNames[i]) return void(min_level = static_cast<Level>(i));
   }
-  throw BadInput("'" + name + "' is no log level: debug, info, warn or error");
+  throw BadInput("'" + name + "' is not a log level; use debug, info, warn or error");
 }
 
-bool on(Level level) { return level >= least; }
+bool on(Level level) { return level >= min_level; }
 
 namespace detail {
 
--- a/net/log.h
+++ b/net/log.h
@@ -1,5 +1,5 @@
-// The log: one logfmt line per event on standard error, "time=… level=… event=… key=value …". A value with a
-// space, a quote or '=' in it stands in quotes. What is under the level costs a comparison.
+// Logging: one logfmt line per event on standard error, "time=… level=… event=… key=value …". A value with a
+// space, a quote or '=' in it is quoted. An event below the level costs one comparison.
 #pragma once
 
 #include <spdlog/fmt/fmt.h>
@@ -14,7 +14,7 @@
 
 enum class Level { kDebug, kInfo, kWarn, kError };
 
-// "debug", "info", "warn" or "error"; throws BadInput.
+// Sets the lowest level that is written: "debug", "info", "warn" or "error". Throws InvalidInput otherwise.
 void set_level(const std::string& name);
 bool on(Level level);
 
@@ -26,50 +26,51 @@
 void append(std::string& line, T value) { line += fmt::to_string(value); }
 void write(Level level, const std::string& line);
 
-inline void fields(std::string&) {}
+inline void append_fields(std::string&) {}
 template <typename T, typename... Rest>
-void fields(std::string& line, std::string_view key, const T& value, const Rest&... rest) {
+void append_fields(std::string& line, std::string_view key, const T& value, const Rest&... rest) {
   line += ' ';
   line += key;
   line += '=';
   append(line, value);
-  fields(line, rest...);
+  append_fields(line, rest...);
 }
 
 template <typename... Fields>
-void event(Level level, std::string_view name, const Fields&... more) {
+void event(Level level, std::string_view name, const Fields&... other_fields) {
   if (!on(level)) return;
   std::string line = "event=";
   line += name;
-  fields(line, more...);
+  append_fields(line, other_fields...);
   write(level, line);
 }
 
 }  // namespace detail
 
-// log::info("listening", "address", text): an event's name, then keys and values by turns.
+// Usage: log::info("listening", "address", text), that is the event's name, then alternating keys and
+// values.
 template <typename... Fields>
-void debug(std::string_view event, const Fields&... more) {
-  detail::event(Level::kDebug, event, more...);
+void debug(std::string_view event, const Fields&... other_fields) {
+  detail::event(Level::kDebug, event, other_fields...);
 }
 template <typename... Fields>
-void info(std::string_view event, const Fields&... more) {
-  detail::event(Level::kInfo, event, more...);
+void info(std::string_view event, const Fields&... other_fields) {
+  detail::event(Level::kInfo, event, other_fields...);
 }
 template <typename... Fields>
-void warn(std::string_view event, const Fields&... more) {
-  detail::event(Level::kWarn, event, more...);
+void warn(std::string_view event, const Fields&... other_fields) {
+  detail::event(Level::kWarn, event, other_fields...);
 }
 template <typename... Fields>
-void error(std::string_view event, const Fields&... more) {
-  detail::event(Level::kError, event, more...);
+void error(std::string_view event, const Fields&... other_fields) {
+  detail::event(Level::kError, event, other_fields...);
 }
 
-// An error that goes no further than the log: its code, what happened and what to do, behind what else is
-// known.
+// Logs an error that is not passed on: the other fields first, then its code, description and action.
 template <typename... Fields>
-void failed(Level level, std::string_view event, const Error& error, const Fields&... more) {
-  detail::event(level, event, more..., "code", error.code(), "what", error.what(), "action", error.action());
+void failed(Level level, std::string_view event, const Error& error, const Fields&... other_fields) {
+  detail::event(level, event, other_fields..., "code", error.code(), "what", error.what(), "action",
+                error.action());
 }
 
 }  // namespace turntally::net::log
--- a/net/random.h
+++ b/net/random.h
@@ -1,5 +1,5 @@
-// Random numbers that are the same everywhere for a seed: the standard's distributions differ between
-// libraries.
+// Random numbers that are the same for a seed on every platform: the distributions of the standard library
+// differ between implementations.
 #pragma once
 
 #include <cmath>
@@ -12,7 +12,7 @@
 
 namespace turntally::net {
 
-// SplitMix64 (Steele, Lea, Flood 2014): seeds for streams of their own out of one.
+// Returns a seed mixed by SplitMix64 (Steele, Lea, Flood 2014), to derive independent streams from one seed.
 inline uint64_t mix(uint64_t x) {
   x += 0x9e3779b97f4a7c15;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
@@ -20,7 +20,7 @@
   return x ^ (x >> 31);
 }
 
-// In lower case, with leading zeros.
+// Formats a value in lower-case hexadecimal digits with leading zeros.
 inline std::string hex(uint64_t value, int digits = 16) {
   char out[24];
   std::snprintf(out, sizeof(out), "%0*llx", digits, static_cast<unsigned long long>(value));
@@ -37,7 +37,8 @@
   size_t below(size_t n) { return static_cast<size_t>(unit() * static_cast<double>(n)); }  // n > 0
   bool chance(double p) { return unit() < p; }
   double exponential(double mean) { return -mean * std::log1p(-unit()); }
-  // Lognormal with this mean and coefficient of variation, by Box and Muller (1958).
+  // Draws from a lognormal distribution with this mean and coefficient of variation, by the method of Box
+  // and Muller (1958).
   double lognormal(double mean, double cv) {
     const double variance = std::log1p(cv * cv);
     const double normal = std::sqrt(-2 * std::log1p(-unit())) * std::cos(2 * 3.14159265358979323846 * unit());
--- a/net/stream.cpp
+++ b/net/stream.cpp
@@ -64,7 +64,7 @@
 
 void Stream::State::close() {
   closed = true;
-  shortage.cancel();
+  retry_timer.cancel();
   Error ignored;
   socket.close(ignored);
 }
@@ -78,16 +78,16 @@
 
 void Stream::State::expire_at_deadline() {
   deadline.async_wait([self = shared_from_this()](const Error& error) {
-    // It may have been set anew in the turn in which it ran out.
+    // The deadline may have been moved in the same turn of the event loop in which it expired.
     if (error || self->deadline.expiry() > std::chrono::steady_clock::now()) return;
-    if (self->under_way == 0) return;
+    if (self->operations_in_progress == 0) return;
     self->timed_out = true;
     self->close();
   });
 }
 
-Stream::Error Stream::State::ended(Error error) {
-  --under_way;
+Stream::Error Stream::State::end_operation(Error error) {
+  --operations_in_progress;
   return error && timed_out ? make_error_code(boost::beast::error::timeout) : error;
 }
 
--- a/net/stream.h
+++ b/net/stream.h
@@ -1,9 +1,10 @@
-// A TCP connection whose operations hold whatever system calls do that Linux documents. An interrupted call
-// is made again; a read or write of a part is just that; a connection that fails for want of something on
-// this machine is tried again.
+// A TCP connection that copes with every outcome of a system call that Linux documents: an interrupted call
+// is repeated, a partial read or write is returned as such, and a connect that fails for lack of a local
+// resource is retried.
 //
-// Asio's own asynchronous reads and writes take a part for a sign that the socket has nothing more, and wait
-// for an edge that does not come where it had. Here each waits for readiness anew.
+// Asio's own asynchronous reads and writes take a partial transfer as a sign that the socket has nothing
+// more, and then wait for an edge that does not come if it had more. Here each operation waits for readiness
+// anew.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -22,14 +23,15 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Whether an error of connect, socket or accept tells of this machine just then, rather than of the peer: the
-// same call may succeed a little later.
+// Returns whether an error of connect, socket or accept is a temporary condition of this machine rather than
+// of the peer: the same call may succeed a little later.
 bool is_passing_shortage(const boost::system::error_code& error);
-// Whether an error of accept concerns one connection, or nothing at all: the next accept may succeed at once.
+// Returns whether an error of accept concerns a single connection, or none at all: the next accept may
+// succeed at once.
 bool is_lost_connection(const boost::system::error_code& error);
 
-// Meets Beast's and Asio's requirements of a stream, synchronous (never blocking) and asynchronous. At most
-// one read and one write are under way. Handlers must keep it alive.
+// Meets the stream requirements of Beast and Asio, synchronous (never blocking) and asynchronous. At most
+// one read and one write may be in progress. Handlers must keep the stream alive.
 class Stream {
  public:
   using Error = boost::system::error_code;
@@ -39,22 +41,22 @@
   explicit Stream(tcp::socket socket);
   Stream(Stream&& other) noexcept = default;
   Stream& operator=(Stream&& other) noexcept;
-  ~Stream();  // as close()
+  ~Stream();  // closes the connection, as close() does
 
   executor_type get_executor() { return state_->socket.get_executor(); }
   tcp::socket& socket() { return state_->socket; }
   const tcp::socket& socket() const { return state_->socket; }
   bool is_open() const { return state_->socket.is_open(); }
 
-  // Ends what is under way: operation_aborted.
+  // Closes the connection. Operations in progress end with operation_aborted.
   void close();
 
-  // Ends operations that are still under way then: boost::beast::error::timeout, and the connection is
-  // closed.
+  // Sets a deadline for the operations in progress: those that have not ended by then fail with
+  // boost::beast::error::timeout, and the connection is closed.
   void expires_after(std::chrono::steady_clock::duration span);
   void expires_never();
 
-  // would_block where nothing can be read or written now.
+  // Fails with would_block if nothing can be read or written now.
   template <class Buffers>
   size_t read_some(const Buffers& buffers, Error& error) {
     return state_->read_some(buffers, error);
@@ -65,11 +67,11 @@
   }
   template <class Buffers>
   size_t read_some(const Buffers& buffers) {
-    return checked([&](Error& error) { return read_some(buffers, error); });
+    return throw_on_error([&](Error& error) { return read_some(buffers, error); });
   }
   template <class Buffers>
   size_t write_some(const Buffers& buffers) {
-    return checked([&](Error& error) { return write_some(buffers, error); });
+    return throw_on_error([&](Error& error) { return write_some(buffers, error); });
   }
 
   template <class Buffers, class Handler>
@@ -89,19 +91,19 @@
   }
 
  private:
-  static constexpr int kMostConnects = 6;  // of one async_connect, with kShortagePause between two
+  static constexpr int kMaxConnectAttempts = 6;  // per async_connect, kShortagePause apart
   static constexpr std::chrono::milliseconds kShortagePause{20};
 
   struct State : std::enable_shared_from_this<State> {
     tcp::socket socket;
     boost::asio::steady_timer deadline;
-    boost::asio::steady_timer shortage;
-    int under_way = 0;
+    boost::asio::steady_timer retry_timer;
+    int operations_in_progress = 0;
     bool timed_out = false;
     bool closed = false;
 
     explicit State(tcp::socket from)
-        : socket(std::move(from)), deadline(socket.get_executor()), shortage(socket.get_executor()) {}
+        : socket(std::move(from)), deadline(socket.get_executor()), retry_timer(socket.get_executor()) {}
 
     template <class Buffers>
     size_t read_some(const Buffers& buffers, Error& error) {
@@ -121,8 +123,9 @@
     }
     void expire_at_deadline();
     void close();
-    // What the handler is told: an operation that ended with the deadline failed for it.
-    Error ended(Error error);
+    // Marks an operation as ended and returns the error for its handler: timeout if it failed because the
+    // deadline had passed.
+    Error end_operation(Error error);
   };
 
   template <class Buffers>
@@ -132,7 +135,7 @@
 
     template <class Self>
     void operator()(Self& self) {
-      ++state->under_way;
+      ++state->operations_in_progress;
       wait(self);
     }
     template <class Self>
@@ -140,7 +143,7 @@
       size_t count = 0;
       if (!error) count = state->read_some(buffers, error);
       if (error == boost::asio::error::would_block) return wait(self);
-      self.complete(state->ended(error), count);
+      self.complete(state->end_operation(error), count);
     }
     template <class Self>
     void wait(Self& self) {
@@ -153,19 +156,19 @@
   struct Write {
     std::shared_ptr<State> state;
     Buffers buffers;
-    bool done = false;
+    bool is_done = false;
     Error error;
     size_t count = 0;
 
     template <class Self>
     void operator()(Self& self) {
-      if (done) return self.complete(state->ended(error), count);
-      ++state->under_way;
+      if (is_done) return self.complete(state->end_operation(error), count);
+      ++state->operations_in_progress;
       attempt(self);
     }
     template <class Self>
-    void operator()(Self& self, Error waited) {
-      if (waited) return self.complete(state->ended(waited), 0);
+    void operator()(Self& self, Error wait_error) {
+      if (wait_error) return self.complete(state->end_operation(wait_error), 0);
       attempt(self);
     }
     template <class Self>
@@ -175,7 +178,7 @@
       if (error == boost::asio::error::would_block) {
         return socket.async_wait(tcp::socket::wait_write, std::move(self));
       }
-      done = true;
+      is_done = true;
       boost::asio::post(socket.get_executor(), std::move(self));
     }
   };
@@ -183,36 +186,36 @@
   struct Connect {
     std::shared_ptr<State> state;
     tcp::endpoint to;
-    int made = 0;
-    bool pausing = false;
+    int attempts_made = 0;
+    bool is_pausing = false;
 
     template <class Self>
     void operator()(Self& self) {
-      ++state->under_way;
+      ++state->operations_in_progress;
       state->closed = false;
       attempt(self);
     }
     template <class Self>
     void operator()(Self& self, Error error) {
-      if (std::exchange(pausing, false)) {
+      if (std::exchange(is_pausing, false)) {
         if (!error && !state->closed) return attempt(self);
         error = boost::asio::error::operation_aborted;
-      } else if (is_passing_shortage(error) && made < kMostConnects && !state->closed) {
-        pausing = true;
+      } else if (is_passing_shortage(error) && attempts_made < kMaxConnectAttempts && !state->closed) {
+        is_pausing = true;
         Error ignored;
         state->socket.close(ignored);
-        boost::asio::steady_timer& pause = state->shortage;
+        boost::asio::steady_timer& pause = state->retry_timer;
         pause.expires_after(kShortagePause);
         return pause.async_wait(std::move(self));
       }
       Error ignored;
       if (!error) state->socket.set_option(tcp::no_delay(true), ignored);
       if (!error) state->socket.non_blocking(true, ignored);
-      self.complete(state->ended(error));
+      self.complete(state->end_operation(error));
     }
     template <class Self>
     void attempt(Self& self) {
-      ++made;
+      ++attempts_made;
       tcp::socket& socket = state->socket;
       const tcp::endpoint address = to;
       socket.async_connect(address, std::move(self));
@@ -220,11 +223,11 @@
   };
 
   template <class Call>
-  static size_t checked(Call call) {
+  static size_t throw_on_error(Call call) {
     Error error;
-    const size_t out = call(error);
+    const size_t count = call(error);
     if (error) throw boost::system::system_error(error);
-    return out;
+    return count;
   }
 
   std::shared_ptr<State> state_;
--- a/net/toml.cpp
+++ b/net/toml.cpp
@@ -10,7 +10,7 @@
 namespace turntally::net {
 namespace {
 
-size_t distance(const std::string& a, const std::string& b) {
+size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), size_t{0});
   for (size_t i = 1; i <= a.size(); ++i) {
@@ -24,13 +24,13 @@
   return row.back();
 }
 
-std::string plain(double value) {
+std::string format_number(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
 }
 
-std::string listed(const std::set<std::string>& words) {
+std::string join(const std::set<std::string>& words) {
   std::string out;
   for (const std::string& word : words) out += (out.empty() ? "" : ", ") + word;
   return out;
@@ -40,12 +40,13 @@
 
 std::string nearest(const std::string& word, const std::set<std::string>& known) {
   std::string best;
-  size_t least = std::max<size_t>(2, word.size() / 2);
+  size_t best_distance = std::max<size_t>(2, word.size() / 2);
   for (const std::string& candidate : known) {
-    const size_t d = distance(word, candidate);
-    if (d > least || (d == least && !best.empty())) continue;
+    const size_t candidate_distance = edit_distance(word, candidate);
+    if (candidate_distance > best_distance || (candidate_distance == best_distance && !best.empty()))
+      continue;
     best = candidate;
-    least = d;
+    best_distance = candidate_distance;
   }
   return best;
 }
@@ -54,11 +55,11 @@
   std::shared_ptr<toml::table> root;
   const toml::table* table = nullptr;
   std::string file;
-  std::string path;  // of this table, with a dot behind it; empty for the root
-  std::set<std::string> asked;
+  std::string path;  // of this table, with a trailing dot; empty for the root
+  std::set<std::string> read_keys;
 
   const toml::node* find(const std::string& key) {
-    asked.insert(key);
+    read_keys.insert(key);
     return table->get(key);
   }
 };
@@ -107,14 +108,15 @@
   const auto value = node->value<double>();
   if (!node->is_number() || !value || !std::isfinite(*value)) refuse(key, "is no number");
   if (*value < low || *value > high) {
-    refuse(key, "is " + plain(*value) + ", must be " + plain(low) + " to " + plain(high));
+    refuse(key,
+           "is " + format_number(*value) + ", must be " + format_number(low) + " to " + format_number(high));
   }
   return *value;
 }
 
 int Section::integer(const std::string& key, std::optional<int> fallback, int low, int high) const {
   const double value = number(key, fallback ? std::optional<double>(*fallback) : std::nullopt, low, high);
-  if (value != std::floor(value)) refuse(key, "is no whole number");
+  if (value != std::floor(value)) refuse(key, "is not a whole number");
   return static_cast<int>(value);
 }
 
@@ -122,7 +124,7 @@
   const toml::node* node = state_->find(key);
   if (node == nullptr && fallback) return *fallback;
   if (node == nullptr) refuse(key, "is missing");
-  if (!node->is_boolean()) refuse(key, "is neither true nor false");
+  if (!node->is_boolean()) refuse(key, "must be true or false");
   return *node->value<bool>();
 }
 
@@ -131,10 +133,10 @@
   const toml::node* node = state_->find(key);
   if (node == nullptr && fallback) return *fallback;
   if (node == nullptr) refuse(key, "is missing");
-  if (!node->is_string()) refuse(key, "is no text");
+  if (!node->is_string()) refuse(key, "is not a string");
   auto value = *node->value<std::string>();
   if (!allowed.empty() && !allowed.contains(value)) {
-    refuse(key, "is '" + value + "', must be one of: " + listed(allowed));
+    refuse(key, "is '" + value + "', must be one of: " + join(allowed));
   }
   return value;
 }
@@ -147,9 +149,9 @@
   std::vector<std::string> out;
   for (const toml::node& item : *node->as_array()) {
     const auto value = item.is_string() ? item.value<std::string>() : std::nullopt;
-    if (!value) refuse(key, "is no list of texts");
+    if (!value) refuse(key, "is not a list of strings");
     if (!allowed.empty() && !allowed.contains(*value)) {
-      refuse(key, "holds '" + *value + "', must hold some of: " + listed(allowed));
+      refuse(key, "contains '" + *value + "', each item must be one of: " + join(allowed));
     }
     out.push_back(*value);
   }
@@ -167,9 +169,10 @@
   const toml::array& pair = *node->as_array();
   const auto first = pair.size() == 2 ? pair.get(0)->value<double>() : std::nullopt;
   const auto second = pair.size() == 2 ? pair.get(1)->value<double>() : std::nullopt;
-  if (!first || !second) refuse(key, "is neither a number nor a list of two");
+  if (!first || !second) refuse(key, "must be a number or a list of two numbers");
   if (*first > *second || *first < low || *second > high) {
-    refuse(key, "must run upwards, within " + plain(low) + " to " + plain(high));
+    refuse(key, "must be an ascending pair of numbers within " + format_number(low) + " to " +
+                    format_number(high));
   }
   return {*first, *second};
 }
@@ -177,11 +180,11 @@
 Section Section::table(const std::string& key) const {
   static const toml::table kEmpty;
   const toml::node* node = state_->find(key);
-  if (node != nullptr && !node->is_table()) refuse(key, "is no table");
+  if (node != nullptr && !node->is_table()) refuse(key, "is not a table");
   auto state = std::make_shared<State>(*state_);
   state->table = node != nullptr ? node->as_table() : &kEmpty;
   state->path = state_->path + key + ".";
-  state->asked.clear();
+  state->read_keys.clear();
   return Section(std::move(state));
 }
 
@@ -189,14 +192,14 @@
   const toml::node* node = state_->find(key);
   if (node == nullptr) return {};
   if (!node->is_array() || !node->as_array()->is_homogeneous(toml::node_type::table)) {
-    refuse(key, "is no list of tables: write [[" + key + "]]");
+    refuse(key, "is not a list of tables; write [[" + key + "]]");
   }
   std::vector<Section> out;
   for (size_t i = 0; i < node->as_array()->size(); ++i) {
     auto state = std::make_shared<State>(*state_);
     state->table = node->as_array()->get(i)->as_table();
     state->path = state_->path + key + "[" + std::to_string(i) + "].";
-    state->asked.clear();
+    state->read_keys.clear();
     out.push_back(Section(std::move(state)));
   }
   return out;
@@ -205,8 +208,8 @@
 void Section::done() const {
   for (const auto& [key, node] : *state_->table) {
     const std::string name(key.str());
-    if (state_->asked.contains(name)) continue;
-    const std::string near = nearest(name, state_->asked);
+    if (state_->read_keys.contains(name)) continue;
+    const std::string near = nearest(name, state_->read_keys);
     refuse(name, near.empty() ? "is not known" : "is not known; did you mean '" + near + "'?");
   }
 }
--- a/net/toml.h
+++ b/net/toml.h
@@ -1,5 +1,5 @@
-// net: what every process of the project needs around its own job. This one: configuration in TOML, read key
-// by key, so that whatever nobody asks for is refused with the nearest key that is known.
+// Configuration in TOML, read key by key. A key that is never read is rejected, with the most similar known
+// key as a suggestion.
 #pragma once
 
 #include <memory>
@@ -18,33 +18,33 @@
   bool operator==(const Range&) const = default;
 };
 
-// The known word that is nearest to the given one, by edit distance (Levenshtein, 1966); empty where none is
-// near.
+// Returns the known word nearest to the given one by edit distance (Levenshtein, 1966), or an empty string
+// if none is near.
 std::string nearest(const std::string& word, const std::set<std::string>& known);
 
-// One table of a file. Each call names a key and so makes it known; all throw BadInput where the value does
-// not fit. Copies read the same table.
+// One table of a file. Each read names a key and thereby makes it known; all reads throw InvalidInput if the
+// value does not fit. Copies share the same table.
 class Section {
  public:
   static Section file(const std::string& path);
   static Section text(const std::string& name, const std::string& toml);
 
   bool has(const std::string& key) const;
-  // Bounds are inclusive. Without a fallback the key must be there.
+  // Bounds are inclusive. Without a fallback the key is required.
   double number(const std::string& key, std::optional<double> fallback, double low, double high) const;
   int integer(const std::string& key, std::optional<int> fallback, int low, int high) const;
   bool flag(const std::string& key, std::optional<bool> fallback) const;
   std::string word(const std::string& key, const std::optional<std::string>& fallback,
-                   const std::set<std::string>& allowed = {}) const;  // allowed: empty for any
+                   const std::set<std::string>& allowed = {}) const;  // `allowed`: empty for any word
   std::vector<std::string> words(const std::string& key, const std::vector<std::string>& fallback,
                                  const std::set<std::string>& allowed = {}) const;
-  // A number, or two in a list: from and to.
+  // Reads a number, or a list of two numbers: the lower and the upper bound.
   Range range(const std::string& key, std::optional<Range> fallback, double low, double high) const;
-  Section table(const std::string& key) const;  // an empty one where there is none
+  Section table(const std::string& key) const;  // empty if the key is missing
   std::vector<Section> tables(const std::string& key) const;
 
   [[noreturn]] void refuse(const std::string& key, const std::string& what) const;
-  // Throws on the first key that was never asked for.
+  // Throws InvalidInput for the first key of the table that was never read.
   void done() const;
 
  private:
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -1,4 +1,4 @@
-// What every process uses: the log.
+// Tests of the log, the JSON splitter and the backoff.
 #include <gtest/gtest.h>
 
 #include "net/backoff.h"
@@ -8,34 +8,34 @@
 namespace turntally::net {
 namespace {
 
-std::vector<std::string> texts(const std::string& bytes, size_t piece) {
-  JsonSplitter reader;
+std::vector<std::string> split(const std::string& bytes, size_t piece) {
+  JsonSplitter splitter;
   std::vector<std::string> out;
   for (size_t at = 0; at < bytes.size(); at += piece) {
-    reader.add(bytes.substr(at, piece));
-    while (const auto text = reader.next()) out.push_back(*text);
+    splitter.add(bytes.substr(at, piece));
+    while (const auto text = splitter.next()) out.push_back(*text);
   }
   return out;
 }
 
-TEST(Texts, EndWhereTheirBracketsDoInPiecesOfAnySize) {
+TEST(JsonSplitter, SplitsTextsInPiecesOfAnySize) {
   const std::string one = R"({"a":["]}\"{",1]})";
   const std::string two = "{\n \"b\": {\r\n \n  \"c\": []\n }\n}";
   const std::string all = one + "\n\n" + two + "\n \r\n" + one + one + "\n";
   const std::vector<std::string> expected = {one, "", two, "", one, one};
-  for (size_t piece = 1; piece <= all.size(); ++piece) EXPECT_EQ(texts(all, piece), expected) << piece;
+  for (size_t piece = 1; piece <= all.size(); ++piece) EXPECT_EQ(split(all, piece), expected) << piece;
 }
 
-TEST(Texts, HandOutWhatBeginsNoneAndWhatBreaksOff) {
-  EXPECT_EQ(texts("oops {}\n\n{\"a\n{}\n", 3), (std::vector<std::string>{"oops {}", "", "{\"a", "{}"}));
-  JsonSplitter reader;
-  reader.add("{\"a\":1,\n \n");
-  EXPECT_FALSE(reader.next());
-  EXPECT_TRUE(reader.within());
-  EXPECT_EQ(reader.told(), 7U);  // blanks say nothing
+TEST(JsonSplitter, ReturnsUnstructuredLinesAndBrokenTexts) {
+  EXPECT_EQ(split("oops {}\n\n{\"a\n{}\n", 3), (std::vector<std::string>{"oops {}", "", "{\"a", "{}"}));
+  JsonSplitter splitter;
+  splitter.add("{\"a\":1,\n \n");
+  EXPECT_FALSE(splitter.next());
+  EXPECT_TRUE(splitter.within());
+  EXPECT_EQ(splitter.told(), 7U);  // blanks do not count
 }
 
-TEST(Backoff, WaitsNoLongerThanIsAskedAndStillWidens) {
+TEST(Backoff, RespectsMaxDelayAndStillWidensSpan) {
   Backoff backoff(10, 1);
   for (int i = 0; i < 100; ++i) EXPECT_LE(backoff.next(std::chrono::milliseconds(1000)).count(), 1000);
   std::chrono::milliseconds longest{0};
@@ -43,8 +43,9 @@
   EXPECT_GT(longest.count(), 2000);  // wider than the first, 1.2 s
 }
 
-// From one beginning to the next: neither the time that a call took to fail nor how often it did adds to it.
-TEST(Backoff, KeepsTheDistanceOfCallsWhileTheyFail) {
+// Starts of calls are spaced: neither how long a call takes to fail nor how often it fails adds to the
+// distance.
+TEST(Backoff, SpacesStartsOfFailedCalls) {
   Backoff backoff(300, 1);
   backoff.next();
   for (const int took : {0, 150, 2150, 3000, 3800, 9000}) {
@@ -57,14 +58,14 @@
   }
 }
 
-TEST(Log, QuotesWhatWouldNotBeOneField) {
+TEST(Log, QuotesValuesWithSpecialCharacters) {
   std::string line;
-  log::detail::fields(line, "id", std::string("9b1f"), "n", 3, "none", "", "why", "no \"room\"\nleft", "sum",
-                      "a=b");
+  log::detail::append_fields(line, "id", std::string("9b1f"), "n", 3, "none", "", "why", "no \"room\"\nleft",
+                             "sum", "a=b");
   EXPECT_EQ(line, " id=9b1f n=3 none=\"\" why=\"no \\\"room\\\" left\" sum=\"a=b\"");
 }
 
-TEST(Log, WritesWhatReachesItsLevel) {
+TEST(Log, WritesEventsAtOrAboveLevel) {
   log::set_level("warn");
   ::testing::internal::CaptureStderr();
   log::info("small", "n", 1);
@@ -76,7 +77,7 @@
   EXPECT_THROW(log::set_level("loud"), BadInput);
 }
 
-TEST(Log, CarriesAnErrorsCodeAndAction) {
+TEST(Log, IncludesErrorCodeAndAction) {
   ::testing::internal::CaptureStderr();
   log::failed(log::Level::kWarn, "rejected", BadInput("f:1: no"), "by", "me");
   const std::string out = ::testing::internal::GetCapturedStderr();
