--- a/relay/client_session.cpp
+++ b/relay/client_session.cpp
@@ -14,22 +14,24 @@
 namespace {
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kMaxSilence = 5 * kSecond / 2;  // with nothing ever sent
+// A client that has sent nothing is disconnected after kMaxInitialIdle, or after kMinInitialIdle to make
+// room.
+constexpr Time kMaxInitialIdle = 5 * kSecond / 2;
 constexpr Time kMaxCommandTime = 2 * kSecond;  // from a command's first byte to its last
-constexpr Time kMinFirstCommandTime =
-    3 * kSecond / 10;                             // the first one gets what is left of the silence, but this
-constexpr Time kClientTimeout = 2 * kSecond / 5;  // then it gives its request up
-constexpr Time kMaxWriteTime = 2 * kSecond;       // for an answer that the client does not read
-constexpr Time kMaxLingerAfterError =
-    5 * kSecond;  // after an error, so that a client still sending gets to read it
-constexpr Time kMaxLinger = 3 * kSecond / 2;  // after an end between requests, for the client's own
-constexpr size_t kMaxDiscardedBytes = size_t{96} * 1024 * 1024;  // bytes, and so many bytes of it
+// The first command has the rest of kMaxInitialIdle, but at least this time.
+constexpr Time kMinFirstCommandTime = 3 * kSecond / 10;
+constexpr Time kClientTimeout = 2 * kSecond / 5;    // after which a client gives up its request
+constexpr Time kMaxWriteTime = 2 * kSecond;         // for the client to read an answer
+constexpr Time kMaxLingerAfterError = 5 * kSecond;  // for a client that is still sending to read the error
+constexpr Time kMaxLinger = 3 * kSecond / 2;  // after a close between requests, for the client to close too
+constexpr size_t kMaxDiscardedBytes = size_t{96} * 1024 * 1024;  // while waiting for the client to close
 constexpr size_t kDiscardBytes = size_t{256} * 1024;
 constexpr Time kMinIdle = 2 * kSecond;                // between requests
-constexpr Time kMinIdleUnderPressure = kSecond / 20;  // the same, where every other was of use just now
-constexpr Time kMinSilence = 3 * kSecond / 10;        // with nothing ever sent
+constexpr Time kMinIdleUnderPressure = kSecond / 20;  // the same if every other connection was used just now
+constexpr Time kMinInitialIdle = 3 * kSecond / 10;
 constexpr Time kMinLingerAfterError = kSecond;
-constexpr Time kMinLinger = kSecond / 20;  // after an end between requests: for what its client had sent
+// After a close between requests, for bytes that the client has already sent.
+constexpr Time kMinLinger = kSecond / 20;
 
 std::string upper(std::string text) {
   std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return std::toupper(c); });
@@ -44,7 +46,7 @@
   try {
     words = parser_.next();
   } catch (const RespError& error) {
-    return refuse("-ERR protocol error: " + std::string(error.what()));
+    return reject("-ERR protocol error: " + std::string(error.what()));
   }
   if (words) {
     command_since_ = 0;
@@ -58,18 +60,18 @@
   }
   state_ = State::kReading;
   stream_.socket().async_wait(tcp::socket::wait_read,
-                              [self = shared_from_this()](auto error) { self->readable(error); });
-  if (owner_->finishing_ || (has_spoken_ && owner_->leaving())) finish();
+                              [self = shared_from_this()](auto error) { self->on_readable(error); });
+  if (owner_->finishing_ || (has_sent_command_ && owner_->closes_between_requests())) finish();
 }
 
 void Clients::Session::hand_over() {
-  const ClientFrame state = {since_, received_at_, command_since_, has_spoken_,
+  const ClientFrame state = {since_, received_at_, command_since_, has_sent_command_,
                              std::string(parser_.unread())};
   owner_->hand_over_(state, stream_.socket().native_handle());
   boost::system::error_code ignored;
   stream_.socket().close(ignored);
   state_ = State::kClosed;
-  std::exchange(owner_, nullptr)->forget(place);
+  std::exchange(owner_, nullptr)->remove(position);
 }
 
 void Clients::Session::restore(const ClientFrame& state) {
@@ -77,14 +79,14 @@
   since_ = std::min(state.since, now);
   received_at_ = std::min(state.received_at, now);
   command_since_ = std::min(state.command_since, now);
-  has_spoken_ = state.has_spoken;
+  has_sent_command_ = state.has_spoken;
   parser_.feed(state.unread);
   proceed();
 }
 
 void Clients::Session::finish() {
   boost::system::error_code ignored;
-  if (!has_spoken_ && steady_now() - since_ < kMinSilence) return;
+  if (!has_sent_command_ && steady_now() - since_ < kMinInitialIdle) return;
   if (state_ == State::kReading && parser_.empty()) stream_.socket().cancel(ignored);
 }
 
@@ -97,12 +99,14 @@
 void Clients::Session::enforce_timeouts(Time now) {
   const Time command_age = state_ == State::kReading && command_since_ != 0 ? now - command_since_ : 0;
   const Time max_linger = closing_after_answer_ ? kMaxLingerAfterError : kMaxLinger;
-  const bool late = command_age >= kMaxCommandTime ||
-                    (!has_spoken_ && command_age >= kMinFirstCommandTime && now - since_ >= kMaxSilence);
-  if (late && quiet()) {  // what has come is looked at first: this process may have stood still
-    refuse("-ERR the command took too long");
-  } else if (state_ == State::kReading && !has_spoken_ && command_since_ == 0 &&
-             now - since_ >= kMaxSilence && quiet()) {
+  const bool is_late =
+      command_age >= kMaxCommandTime ||
+      (!has_sent_command_ && command_age >= kMinFirstCommandTime && now - since_ >= kMaxInitialIdle);
+  // Received bytes are handled first: this process may have been suspended.
+  if (is_late && is_input_empty()) {
+    reject("-ERR the command took too long");
+  } else if (state_ == State::kReading && !has_sent_command_ && command_since_ == 0 &&
+             now - since_ >= kMaxInitialIdle && is_input_empty()) {
     linger();
   } else if ((state_ == State::kWriting && now - since_ >= kMaxWriteTime) ||
              (state_ == State::kLingering && now - since_ >= max_linger)) {
@@ -110,14 +114,14 @@
   }
 }
 
-Time Clients::Session::spare(Time now, bool pressed) const {
+Time Clients::Session::closable_for(Time now, bool under_pressure) const {
   const Time age = now - since_;
   if (state_ == State::kLingering) return age - (closing_after_answer_ ? kMinLingerAfterError : kMinLinger);
   if (state_ != State::kReading || command_since_ != 0) return -1;
-  return age - (!has_spoken_ ? kMinSilence : pressed ? kMinIdleUnderPressure : kMinIdle);
+  return age - (!has_sent_command_ ? kMinInitialIdle : under_pressure ? kMinIdleUnderPressure : kMinIdle);
 }
 
-bool Clients::Session::quiet() const {
+bool Clients::Session::is_input_empty() const {
   boost::system::error_code error;
   return stream_.socket().available(error) == 0 || error;
 }
@@ -129,7 +133,7 @@
   parser_ = RespParser();
   since_ = steady_now();
   state_ = State::kLingering;
-  linger_on();
+  continue_linger();
 }
 
 void Clients::Session::close() {
@@ -137,21 +141,21 @@
   stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
   stream_.socket().close(ignored);
   state_ = State::kClosed;
-  if (owner_ != nullptr) std::exchange(owner_, nullptr)->forget(place);
+  if (owner_ != nullptr) std::exchange(owner_, nullptr)->remove(position);
 }
 
-void Clients::Session::readable(const boost::system::error_code& error) {
+void Clients::Session::on_readable(const boost::system::error_code& error) {
   if (owner_ == nullptr || state_ != State::kReading || !owner_->reading_) return;
   if (error && error != boost::asio::error::operation_aborted) return close();
-  if (error && quiet()) return linger();
-  boost::system::error_code failed;
-  const size_t count = stream_.read_some(boost::asio::buffer(owner_->bytes_), failed);
-  if (failed == boost::asio::error::would_block) return proceed();
+  if (error && is_input_empty()) return linger();
+  boost::system::error_code read_error;
+  const size_t count = stream_.read_some(boost::asio::buffer(owner_->read_buffer_), read_error);
+  if (read_error == boost::asio::error::would_block) return proceed();
   if (count == 0) return close();
-  const Time waiting = time_in_socket();
-  if (waiting >= kClientTimeout && peer_closed()) return close();
-  received_at_ = steady_now() - waiting;
-  parser_.feed({owner_->bytes_.data(), count});
+  const Time time_waiting = time_in_socket();
+  if (time_waiting >= kClientTimeout && peer_closed()) return close();
+  received_at_ = steady_now() - time_waiting;
+  parser_.feed({owner_->read_buffer_.data(), count});
   proceed();
 }
 
@@ -164,15 +168,15 @@
 
 bool Clients::Session::peer_closed() {
   char byte = 0;
-  ssize_t got = 0;
+  ssize_t received = 0;
   do {
-    got = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  } while (got < 0 && errno == EINTR);
-  return got == 0;
+    received = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (received < 0 && errno == EINTR);
+  return received == 0;
 }
 
 void Clients::Session::handle(const std::vector<std::string>& words) {
-  has_spoken_ = true;
+  has_sent_command_ = true;
   state_ = State::kServing;
   const std::string command = upper(words[0]);
   if (command == "PING" && words.size() <= 2) {
@@ -207,22 +211,22 @@
                            });
 }
 
-void Clients::Session::refuse(const std::string& line) {
+void Clients::Session::reject(const std::string& line) {
   closing_after_answer_ = true;
   answer(line);
 }
 
-void Clients::Session::linger_on() {
+void Clients::Session::continue_linger() {
   stream_.socket().async_wait(tcp::socket::wait_read, [self = shared_from_this()](auto error) {
     if (self->owner_ == nullptr || self->state_ != State::kLingering) return;
-    if (error == boost::asio::error::operation_aborted) return self->linger_on();
+    if (error == boost::asio::error::operation_aborted) return self->continue_linger();
     if (error) return self->close();
-    const ssize_t got =
+    const ssize_t received =
         ::recv(self->stream_.socket().native_handle(), nullptr, kDiscardBytes, MSG_TRUNC | MSG_DONTWAIT);
-    if (got > 0) self->discarded_ += static_cast<size_t>(got);
-    const bool empty = got < 0 && (errno == EAGAIN || errno == EINTR);
-    if ((got <= 0 && !empty) || self->discarded_ > kMaxDiscardedBytes) return self->close();
-    self->linger_on();
+    if (received > 0) self->discarded_bytes_ += static_cast<size_t>(received);
+    const bool empty = received < 0 && (errno == EAGAIN || errno == EINTR);
+    if ((received <= 0 && !empty) || self->discarded_bytes_ > kMaxDiscardedBytes) return self->close();
+    self->continue_linger();
   });
 }
 
--- a/relay/client_session.h
+++ b/relay/client_session.h
@@ -1,4 +1,4 @@
-// One client's connection.
+// The connection of one client.
 #pragma once
 
 #include <list>
@@ -12,74 +12,79 @@
 
 namespace turntally::relay {
 
-// Reads a request, answers it, and only then looks at the next one.
-// Owns its connection. Times are microseconds of the steady clock.
-// Invariant: `place` is where Clients has it; after close(), hand_over() or orphan() Clients does not know
-// it.
+// Handles one request at a time: reads it, answers it, and only then looks at the next one. Owns its
+// connection. Times are microseconds of the steady clock. Invariant: `position` is the session's position in
+// Clients' list; after close(), hand_over() or orphan() Clients no longer refers to the session.
 class Clients::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Clients& owner, tcp::socket socket)
       : owner_(&owner), stream_(std::move(socket)), since_(steady_now()) {}
 
-  std::list<std::shared_ptr<Session>>::iterator place;
+  std::list<std::shared_ptr<Session>>::iterator position;
 
   void proceed();
-  // Without a shutdown, which would end it for the other process as well.
+  // Sends the connection to the other process and closes it here, without a shutdown, which would end it
+  // there as well.
   void hand_over();
-  // As it was in the process before. The clock is the machine's, so the times hold.
+  // Restores the state that the connection had in the predecessor process. The steady clock is the
+  // machine's, so the times remain valid.
   void restore(const ClientFrame& state);
-  bool reading() const { return state_ == State::kReading; }
-  bool lingering() const { return state_ == State::kLingering; }
-  // Ended between requests: it takes little time.
-  bool is_leaving() const { return lingering() && !closing_after_answer_; }
+  bool is_reading() const { return state_ == State::kReading; }
+  bool is_lingering() const { return state_ == State::kLingering; }
+  // Returns whether the session was ended between requests and is closing, which takes little time.
+  bool is_closing() const { return is_lingering() && !closing_after_answer_; }
   bool owes_answer() const { return state_ == State::kServing || state_ == State::kWriting; }
 
-  // What was answered is between requests; what never spoke may be a client that comes just now.
-  bool has_spoken() const { return has_spoken_; }
+  // Returns whether the client has sent a command. A client that has not may have just connected; one that
+  // has is between requests once it has been answered.
+  bool has_sent_command() const { return has_sent_command_; }
 
-  // Wakes a pending read, which then decides: bytes that came in the meantime are a request to be served. One
-  // that has just connected has its request still on the way: the next sweep looks again.
+  // Wakes a pending read, which then closes the connection, or serves the request if bytes have arrived in
+  // the meantime. Leaves a connection alone that was opened just now, as its request is on the way: the next
+  // sweep tries again.
   void finish();
   void orphan();
-  // Ends what takes too long. Not by the time since the last byte: dribbled ones would put it off for ever.
+  // Closes the connection if a command, an answer or the final wait takes too long. A command's time does
+  // not start anew with each byte, as a slow sender could then extend it for ever.
   void enforce_timeouts(Time now);
-  // How long it could have been closed for another's sake; negative: not now. Never with a request open or
-  // begun. `pressed`: nothing else is left that could go.
-  Time spare(Time now, bool pressed) const;
-  // Nothing has come that was not read.
-  bool quiet() const;
-  // A close with bytes unread would be a reset, which may overtake the last answer, and they may come at any
-  // moment: the sending side ends, and what still comes is discarded until the client ends too, or for a
-  // while. No request is taken after the end: its client submits it again elsewhere.
+  // Returns for how long the connection could have been closed to make room; negative if it cannot be closed
+  // now, as with a request that has begun or is not answered. `under_pressure`: no other connection can be
+  // closed.
+  Time closable_for(Time now, bool under_pressure) const;
+  // Returns whether no received bytes are unread.
+  bool is_input_empty() const;
+  // Shuts down the sending side and discards what still arrives until the client closes too or a limit is
+  // reached. A close with unread bytes would send a reset, which may overtake the last answer, and bytes may
+  // arrive at any moment. No request is handled after that: its client submits it again elsewhere.
   void linger();
   void close();
 
  private:
   enum class State { kReading, kServing, kWriting, kLingering, kClosed };
 
-  void readable(const boost::system::error_code& error);
-  // How long the newest byte had been here: a message's time runs from then, also while this process was busy
-  // or the connection stood in the queue to be accepted.
+  void on_readable(const boost::system::error_code& error);
+  // Returns how long ago the newest byte arrived. A message's time runs from that moment, also while this
+  // process was busy or the connection waited to be accepted.
   Time time_in_socket();
-  // The client closed behind its request: it has given up, and submitted the message elsewhere under a
-  // new id.
+  // Returns whether the client closed the connection after its request: it has given up, and has submitted
+  // the message elsewhere under a new id.
   bool peer_closed();
   void handle(const std::vector<std::string>& words);
   void answer(std::string line);
-  // What follows cannot be read any more.
-  void refuse(const std::string& line);
-  void linger_on();
+  // Answers with an error and then closes the connection, as what follows cannot be parsed.
+  void reject(const std::string& line);
+  void continue_linger();
 
   Clients* owner_;
   net::Stream stream_;
   RespParser parser_;
   std::string answer_;
   State state_ = State::kReading;
-  Time since_;              // when it connected, was last answered, or an answer or the lingering began
-  Time received_at_ = 0;    // when the newest byte came
-  Time command_since_ = 0;  // when a command's first byte was read; 0: none has begun
-  size_t discarded_ = 0;
-  bool has_spoken_ = false;
+  Time since_;  // when the client connected, was last answered, or an answer or the final wait began
+  Time received_at_ = 0;    // when the newest byte arrived
+  Time command_since_ = 0;  // when the first byte of an unfinished command was read; 0: none has begun
+  size_t discarded_bytes_ = 0;
+  bool has_sent_command_ = false;
   bool closing_after_answer_ = false;
 };
 
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -1,4 +1,4 @@
-// The side that clients connect to: RESP2 over TCP.
+// The listener for client connections: RESP2 over TCP.
 #pragma once
 
 #include <array>
@@ -18,79 +18,79 @@
 
 class Clients {
  public:
-  using Answer = std::function<void(std::string line)>;  // called once, with a RESP line without its end
+  using Answer = std::function<void(std::string line)>;  // called once with a RESP line, without its line end
   using Submit = std::function<void(SubmittedMessage message, Answer answer)>;
 
-  // For another process: a connection, with what it must know of it.
+  // Sends a connection and its state to another process.
   using HandOver = std::function<void(const ClientFrame& state, int descriptor)>;
 
-  // Listens at once, or takes a listener over, and has at most `max_sessions` connections; throws
-  // boost::system::system_error.
+  // Starts listening, or takes over `listener` unless it is negative, and serves at most `max_sessions`
+  // connections. Throws net::ListenError or boost::system::system_error.
   Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions, Submit submit,
           int listener = -1);
   ~Clients();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Takes no new connection but those that are there, as soon as there is room for them, and ends all that
-  // are open, each only between requests.
+  // Accepts only connections that already wait to be accepted, as soon as there is room for them, and closes
+  // every connection once it is between requests.
   void finish();
-  bool ended() const {
-    return finishing_ && sessions_.empty() && !acceptor_.is_open();
-  }  // and the clients have ended theirs, or had time
+  // Returns whether finish() is complete: every client has closed its connection or has had time to.
+  bool ended() const { return finishing_ && sessions_.empty() && !acceptor_.is_open(); }
 
-  // For the process's very end: reads nothing more. What was read is still answered, see answered().
+  // Stops reading from clients, right before the process ends. Requests that were read are still answered,
+  // see has_answered_all().
   void read_no_more() { reading_ = false; }
 
-  // Says no to PING, and a little later closes connections between requests, while it still listens.
+  // Rejects PING, and after a short delay closes connections between requests, but keeps listening.
   void drain();
   void activate() { draining_since_ = 0; }
 
-  // Holds at most so many from now on: those beyond go as they can be spared.
+  // Changes the limit of connections. Connections above it are closed once they can be spared.
   void limit(size_t max_sessions) { max_sessions_ = max_sessions; }
 
-  // Takes no new connection and sends those that are open to another process, each once it has been answered.
+  // Accepts no new connection and sends each open one to another process once its request has been answered.
   void hand_over(HandOver hand_over);
   int listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
-  bool answered() const;  // none waits for an answer to what was read
+  bool answered() const;  // no connection awaits the answer to a request that was read
 
-  // Whether there is a place, and as `has_descriptor` says a descriptor, for one more connection of the
-  // process before. Where there is none, room is being made, and for a moment no new connection is
-  // accepted.
+  // Returns whether there is a place, and according to `has_descriptor` a descriptor, for one more
+  // connection of the predecessor process. Otherwise makes room and accepts no new connection for a moment.
   bool has_room_for_inherited(bool has_descriptor);
-  // A connection of the process before, with its state. Throws HandoverFrameInvalid where it is none.
+  // Adds a connection of the predecessor process with its state. Throws HandoverFrameInvalid if the
+  // descriptor is no connection.
   void add_inherited(const ClientFrame& state, Descriptor descriptor);
 
  private:
   class Session;
 
-  bool leaving() const;  // connections go once they have been answered
+  bool closes_between_requests() const;  // connections are closed once they have been answered
 
   void accept();
-  void accept_in(std::chrono::microseconds pause);
-  void accept_waiting();
+  void accept_after(std::chrono::microseconds delay);
+  void accept_queued();
   std::shared_ptr<Session> add(tcp::socket socket);
-  bool keeps_places() const;
+  bool reserves_places() const;
   bool make_room(size_t max_sessions);
-  void end_idle(Time now, bool pressed, size_t wanted, size_t& leaving);
+  void close_idle(Time now, bool under_pressure, size_t wanted, size_t& closing);
   void close_lingering(Time now, size_t max_sessions);
   void sweep();
-  void forget(std::list<std::shared_ptr<Session>>::iterator place);
+  void remove(std::list<std::shared_ptr<Session>>::iterator position);
 
   boost::asio::io_context& io_;
   tcp protocol_;
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
-  boost::asio::steady_timer sweeper_;
+  boost::asio::steady_timer accept_timer_;
+  boost::asio::steady_timer sweep_timer_;
   size_t max_sessions_;
   Submit submit_;
   bool accepting_ = false;
-  Time places_kept_until_ = 0;  // for connections of the process before; 0: none are kept
+  Time places_reserved_until_ = 0;  // for connections of the predecessor process; 0: no places are reserved
   bool finishing_ = false;
   bool reading_ = true;
-  Time draining_since_ = 0;                    // 0: not draining
-  HandOver hand_over_;                         // set: whatever can goes to another process
-  std::array<char, size_t{64} * 1024> bytes_;  // what was read last, of any connection
+  Time draining_since_ = 0;                          // 0: not draining
+  HandOver hand_over_;                               // if set, connections go to another process
+  std::array<char, size_t{64} * 1024> read_buffer_;  // last bytes read, shared by all connections
   std::list<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kFewestSockets = 64;
+constexpr size_t kMinDescriptors = 64;
 
 std::string scalar(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
@@ -37,7 +37,7 @@
   }
 }
 
-std::string needed(const char* variable) {
+std::string require_variable(const char* variable) {
   const char* value = std::getenv(variable);
   if (value == nullptr || *value == '\0') {
     throw NoEnvironment(variable);
@@ -45,24 +45,25 @@
   return value;
 }
 
-// Keys that a class may do without, by its effect or altogether.
-const std::set<std::string> kOptional = {"aim_stretch", "in_order", "key_scope", "key_ttl_s"};
+// Keys that are optional in a class, always or depending on its effect.
+const std::set<std::string> kOptionalKeys = {"aim_stretch", "in_order", "key_scope", "key_ttl_s"};
 
-// Of classes and the like each must have the keys that all had.
+// Returns the keys that each item of a later list, such as the list of classes, must have: those of all
+// items except optional ones.
 json common_keys(const json& items) {
   json common = items.front();
   for (const auto& entry : items.front().items()) {
     const std::string& key = entry.key();
-    const bool everywhere =
+    const bool is_common =
         std::all_of(items.begin(), items.end(), [&](const json& item) { return item.contains(key); });
-    if (!everywhere || kOptional.contains(key)) common.erase(key);
+    if (!is_common || kOptionalKeys.contains(key)) common.erase(key);
   }
   return common;
 }
 
 void require_keys(const json& accepted, const json& later, const std::string& path) {
   if (accepted.is_object()) {
-    if (!later.is_object()) throw BadConfig(path + " is no object");
+    if (!later.is_object()) throw BadConfig(path + " is not an object");
     for (const auto& [key, value] : accepted.items()) {
       std::string key_path = path;
       key_path.append(".").append(key);
@@ -70,16 +71,17 @@
       require_keys(value, later.at(key), key_path);
     }
   } else if (accepted.is_array()) {
-    if (!later.is_array()) throw BadConfig(path + " is no list");
+    if (!later.is_array()) throw BadConfig(path + " is not a list");
     if (accepted.empty() || !accepted.front().is_object()) return;
     const json common = common_keys(accepted);
     for (const json& item : later) require_keys(common, item, path);
   }
 }
 
-// Also what the readers of JSON, settings and addresses throw is an error of the configuration.
+// Calls `read` and converts the errors of the parsers of JSON, settings and addresses to errors of the
+// configuration.
 template <typename Read>
-auto reading(Read read) {
+auto with_config_errors(Read read) {
   try {
     return read();
   } catch (const net::Error&) {
@@ -92,7 +94,7 @@
 }  // namespace
 
 void require_keys(const std::string& accepted, const std::string& later) {
-  reading([&] { require_keys(json::parse(accepted), json::parse(later), "the file"); });
+  with_config_errors([&] { require_keys(json::parse(accepted), json::parse(later), "the file"); });
 }
 
 std::string flatten(const json& settings) {
@@ -101,8 +103,9 @@
   return out;
 }
 
-// "fleet": {"registry": ["127.0.0.1:7101", …], "hold_ms": 30000, "most_removed": 0.3}; off without it.
-std::optional<registry::ListFollowerSettings> read_fleet(const json& root, const Config& config) {
+// Reads "fleet": {"registry": ["127.0.0.1:7101", …], "hold_ms": 30000, "most_removed": 0.3}. Returns nothing
+// without it.
+std::optional<registry::ListFollowerSettings> read_list_follower(const json& root, const Config& config) {
   const auto it = root.find("fleet");
   if (it == root.end()) return {};
   registry::ListFollowerSettings out;
@@ -110,20 +113,20 @@
     if (key != "registry" && key != "hold_ms" && key != "most_removed")
       throw BadConfig("fleet." + key + " is not known");
   }
-  for (const std::string& one : it->at("registry").get<std::vector<std::string>>())
-    out.members.push_back(parse_address(one));
-  if (out.members.empty()) throw BadConfig("fleet.registry names no address");
+  for (const std::string& address : it->at("registry").get<std::vector<std::string>>())
+    out.members.push_back(parse_address(address));
+  if (out.members.empty()) throw BadConfig("fleet.registry must name at least one address");
   out.guard.hold_ms = it->value("hold_ms", out.guard.hold_ms);
   out.guard.most_removed = it->value("most_removed", out.guard.most_removed);
-  if (out.guard.hold_ms < 0) throw BadConfig("fleet.hold_ms is under 0");
+  if (out.guard.hold_ms < 0) throw BadConfig("fleet.hold_ms must not be negative");
   if (!(out.guard.most_removed >= 0 && out.guard.most_removed <= 1))
-    throw BadConfig("fleet.most_removed is not 0 to 1");
+    throw BadConfig("fleet.most_removed must be within 0 to 1");
   out.callers = config.settings.relay_count;
   out.seed = config.seed;
   return out;
 }
 
-static tcp::endpoint address_in(const json& root, const char* key) {
+static tcp::endpoint read_address(const json& root, const char* key) {
   try {
     return parse_address(root.at(key).get<std::string>());
   } catch (const std::invalid_argument& error) {
@@ -137,15 +140,15 @@
   out.text = text;
   out.state = state;
   out.name = root.at("name").get<std::string>();
-  out.listen = address_in(root, "listen");
-  out.discovery = address_in(root, "discovery");
-  if (root.contains("control")) out.control = address_in(root, "control");
+  out.listen = read_address(root, "listen");
+  out.discovery = read_address(root, "discovery");
+  if (root.contains("control")) out.control = read_address(root, "control");
   out.seed = std::stoull(root.at("seed").get<std::string>(), nullptr, 16);
   const json& limits = root.at("limits");
   out.sockets = limits.at("sockets").get<size_t>();
   const double disk_mb = limits.at("disk_mb").get<double>();
-  if (out.sockets < kFewestSockets) throw BadConfig("limits.sockets is under 64");
-  if (!(disk_mb > 0 && disk_mb < 1e6)) throw BadConfig("limits.disk_mb is out of range");
+  if (out.sockets < kMinDescriptors) throw BadConfig("limits.sockets is under 64");
+  if (!(disk_mb > 0 && disk_mb < 1e6)) throw BadConfig("limits.disk_mb must be above 0 and below 1000000");
   out.disk_bytes = static_cast<size_t>(disk_mb * 1e6);
   const json& settings = root.at("settings");
   out.settings = policy::parse_settings(flatten(settings));
@@ -160,12 +163,12 @@
   const json report = settings.value("telemetry", json::object());
   out.report_fields = report.value("fields", std::vector<std::string>{});
   out.known = parse_list(root.at("known"), out.names);
-  out.fleet = read_fleet(root, out);
+  out.fleet = read_list_follower(root, out);
   return out;
 }
 
 Config parse_config(const std::string& text, const std::string& state) {
-  return reading([&] { return read_config(text, state); });
+  return with_config_errors([&] { return read_config(text, state); });
 }
 
 static Config parse_file(const std::string& path, const std::string& text, const std::string& state) {
@@ -176,9 +179,10 @@
   }
 }
 
-// This process may have fewer descriptors than configured, and its own limit may be lower than it has to be:
-// clients would take what calls, the watch and the journal need.
-static size_t descriptors(size_t configured) {
+// Returns the number of descriptors that this process may use, `configured` at most, after raising its soft
+// limit as far as needed and possible. With fewer than assumed, clients would take those that calls, the
+// watch and the journal need.
+static size_t limit_descriptors(size_t configured) {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return configured;
   const rlim_t wanted = std::min<rlim_t>(configured, limit.rlim_max);
@@ -188,18 +192,18 @@
   }
   if (limit.rlim_cur >= configured) return configured;
   net::log::warn("few_descriptors", "told", configured, "allowed", static_cast<size_t>(limit.rlim_cur),
-                 "action", "raise the process's limit of open files, or tell limits.sockets as it is");
-  return std::max(kFewestSockets / 2, static_cast<size_t>(limit.rlim_cur));
+                 "action", "raise the limit of open files of the process, or lower limits.sockets to it");
+  return std::max(kMinDescriptors / 2, static_cast<size_t>(limit.rlim_cur));
 }
 
 Config load_config() {
-  const std::string path = needed("PROXY_CONFIG");
-  const std::string state = needed("PROXY_STATE");
+  const std::string path = require_variable("PROXY_CONFIG");
+  const std::string state = require_variable("PROXY_STATE");
   std::ifstream file(path, std::ios::binary);
   if (!file) throw BadConfig("cannot read " + path);
   Config out = parse_file(path, {std::istreambuf_iterator<char>(file), {}}, state);
-  out.sockets = descriptors(out.sockets);
-  // First, as it is the process's own: during an upgrade two versions may share a file.
+  out.sockets = limit_descriptors(out.sockets);
+  // Takes precedence, as it belongs to the process: during an upgrade two versions may share a file.
   const char* control = std::getenv("PROXY_CONTROL");
   if (control != nullptr && *control != '\0') {
     try {
--- a/relay/config.h
+++ b/relay/config.h
@@ -1,4 +1,4 @@
-// The configuration of a relay at its start: environment and JSON.
+// The configuration of a relay at its start, from the environment and a JSON file.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
   tcp::endpoint listen;
   tcp::endpoint discovery;
   std::optional<tcp::endpoint> control;                 // the operators' address
-  std::optional<registry::ListFollowerSettings> fleet;  // the registry that is followed in place of discovery
-  std::string state;                                    // the folder that lasts
+  std::optional<registry::ListFollowerSettings> fleet;  // set if a registry is followed in place of discovery
+  std::string state;                                    // for state that outlives the process
   uint64_t seed = 0;
   size_t sockets = 1024;
   size_t disk_bytes = 0;
@@ -26,18 +26,18 @@
   ListNames names;
   std::vector<std::string> report_fields;
   HostList known;
-  std::string text;  // all of it, as it was read
+  std::string text;  // the whole file, as it was read
 };
 
-// The settings as the path=value lines that parse_settings reads.
+// Returns the settings as the path=value lines that parse_settings reads.
 std::string flatten(const nlohmann::json& settings);
 
 // Throw BadConfig or NoEnvironment.
 Config parse_config(const std::string& text, const std::string& state);
 Config load_config();
 
-// Throws BadConfig unless the later file has every key that the accepted one has: one without it was cut or
-// is not whole.
+// Throws BadConfig unless the later file has every key of the accepted one: a file without one is truncated
+// or incomplete.
 void require_keys(const std::string& accepted, const std::string& later);
 
 }  // namespace turntally::relay
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -18,65 +18,68 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr auto kMostCall = std::chrono::milliseconds(2000);   // from connecting to the call's last byte
-constexpr auto kMostWrite = std::chrono::milliseconds(1000);  // for an answer that is not read
-constexpr auto kLinger = std::chrono::milliseconds(200);      // for the caller's close
+// From connecting to the last byte of the request.
+constexpr auto kRequestTimeout = std::chrono::milliseconds(2000);
+constexpr auto kWriteTimeout = std::chrono::milliseconds(1000);  // for the peer to read a response
+constexpr auto kLingerTime = std::chrono::milliseconds(200);     // for the peer to close
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-constexpr size_t kMostHead = size_t{8} * 1024;
-constexpr size_t kMostBody = size_t{8} * 1024;  // no call needs one
-constexpr size_t kMostLinger = size_t{16} * 1024 * 1024;
+constexpr size_t kMaxHeadBytes = size_t{8} * 1024;
+constexpr size_t kMaxBodyBytes = size_t{8} * 1024;  // no request needs a body
+constexpr size_t kMaxLingerBytes = size_t{16} * 1024 * 1024;
 
-// The call that a request makes; else the answer to what is none.
-std::variant<OperatorCall, OperatorReply> parse_call(http::verb method, std::string_view target) {
-  using What = OperatorCall::What;
+// Returns the operator request that an HTTP request makes, or the response to one that makes none.
+std::variant<OperatorCall, OperatorReply> parse_request(http::verb method, std::string_view target) {
+  using Action = OperatorCall::What;
   constexpr std::string_view kEndpoints = "/v1/endpoints/";
   const std::string_view path = target.substr(0, target.find('?'));
-  OperatorCall call;
+  OperatorCall operator_request;
   if (path == "/v1/readyz") {
-    call.what = What::kReady;
+    operator_request.what = Action::kReady;
   } else if (path == "/v1/metrics") {
-    call.what = What::kMetrics;
+    operator_request.what = Action::kMetrics;
   } else if (path == "/v1/relay/drain") {
-    call.what = What::kDrain;
+    operator_request.what = Action::kDrain;
   } else if (path == "/v1/relay/activate") {
-    call.what = What::kActivate;
+    operator_request.what = Action::kActivate;
   } else if (path == "/v1/relay/fence") {
-    call.what = What::kFence;
+    operator_request.what = Action::kFence;
   } else if (path.starts_with(kEndpoints)) {
     const std::string_view name_and_verb = path.substr(kEndpoints.size());
     const size_t slash = name_and_verb.find('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : name_and_verb.substr(slash + 1);
     if (slash == 0 || (verb != "suspend" && verb != "resume")) return OperatorReply{404, "no such call\n"};
-    call.what = verb == "suspend" ? What::kSuspend : What::kResume;
-    call.id = name_and_verb.substr(0, slash);
+    operator_request.what = verb == "suspend" ? Action::kSuspend : Action::kResume;
+    operator_request.id = name_and_verb.substr(0, slash);
   } else {
     return OperatorReply{404, "no such call\n"};
   }
-  const bool reads = call.what == What::kReady || call.what == What::kMetrics;
-  if (method != (reads ? http::verb::get : http::verb::post)) {
-    return OperatorReply{405, reads ? "GET only\n" : "POST only\n"};
+  const bool is_read_only =
+      operator_request.what == Action::kReady || operator_request.what == Action::kMetrics;
+  if (method != (is_read_only ? http::verb::get : http::verb::post)) {
+    return OperatorReply{405, is_read_only ? "GET only\n" : "POST only\n"};
   }
-  return call;
+  return operator_request;
 }
 
-// The lease under which a call is made, if any. A part of a claim is refused rather than passed over: the
-// call would be carried out as if an operator had made it by hand.
-std::optional<LeaseClaim> claim_of(const http::request<http::string_body>& request, OperatorCall::What what) {
-  const auto text_of = [&](const char* name) {
+// Returns the lease under which a request is made, if any. An incomplete claim is rejected rather than
+// ignored: the request would be carried out as if an operator had made it by hand.
+std::optional<LeaseClaim> parse_lease_claim(const http::request<http::string_body>& request,
+                                            OperatorCall::What action) {
+  const auto header_value = [&](const char* name) {
     const auto [first, last] = request.equal_range(name);
     if (first == last) return std::optional<std::string>();
     if (std::next(first) != last) throw ClaimUnreadable(std::string(name) + " is there more than once");
     return std::optional<std::string>({first->value().data(), first->value().size()});
   };
-  const auto lease = text_of("X-Lease");
-  const auto token = text_of("X-Lease-Token");
-  const auto only = text_of("X-Lease-Fence-Only");
+  const auto lease = header_value("X-Lease");
+  const auto token = header_value("X-Lease-Token");
+  const auto only = header_value("X-Lease-Fence-Only");
   if (only && *only != "1") throw ClaimUnreadable("X-Lease-Fence-Only is not 1");
-  if (!lease && !token && !only && what != OperatorCall::What::kFence) return {};
+  if (!lease && !token && !only && action != OperatorCall::What::kFence) return {};
   if (!lease || !token) throw ClaimUnreadable(lease ? "X-Lease-Token is missing" : "X-Lease is missing");
-  LeaseClaim out = parse_claim(*lease, *token);
-  out.raise_only = only.has_value() || what == OperatorCall::What::kFence;
-  return out;
+  LeaseClaim claim = parse_claim(*lease, *token);
+  claim.raise_only = only.has_value() || action == OperatorCall::What::kFence;
+  return claim;
 }
 
 int status_of(const Error& error) {
@@ -87,37 +90,38 @@
 
 }  // namespace
 
-class Control::Caller : public std::enable_shared_from_this<Caller> {
+class Control::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(Control& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
-    parser_.header_limit(kMostHead);
-    parser_.body_limit(kMostBody);
+  Connection(Control& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
+    parser_.header_limit(kMaxHeadBytes);
+    parser_.body_limit(kMaxBodyBytes);
   }
 
-  std::list<std::shared_ptr<Caller>>::iterator place;
+  std::list<std::shared_ptr<Connection>>::iterator position;
 
   void read() {
-    stream_.expires_after(kMostCall);
+    stream_.expires_after(kRequestTimeout);
     http::async_read(stream_, buffer_, parser_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
-      if (!error) return self->answer(self->handled());
-      // A time-out closes the stream, so that nothing can be sent any more.
+      if (!error) return self->respond(self->handle_request());
+      // A timeout closes the stream, so nothing can be sent any more.
       if (error == boost::beast::error::timeout || error == http::error::end_of_stream) return self->close();
-      self->answer({status_of(error), "unreadable call\n"});
+      self->respond({status_of(error), "unreadable call\n"});
     });
   }
 
-  // It waits for no answer: its call has not come whole, or its answer is written, and nothing is unread.
-  bool spare() const {
+  // Returns whether no response is owed: the request is incomplete or its response has been written, and no
+  // received bytes are unread.
+  bool is_idle() const {
     Error error;
-    return !answering_ && (stream_.socket().available(error) == 0 || error);
+    return !is_responding_ && (stream_.socket().available(error) == 0 || error);
   }
 
   void close() {
     Error ignored;
     stream_.socket().shutdown(tcp::socket::shutdown_both, ignored);
     stream_.close();
-    if (owner_ != nullptr) std::exchange(owner_, nullptr)->callers_.erase(place);
+    if (owner_ != nullptr) std::exchange(owner_, nullptr)->connections_.erase(position);
   }
 
   void orphan() {
@@ -126,34 +130,35 @@
   }
 
  private:
-  OperatorReply handled() const {
+  OperatorReply handle_request() const {
     const auto target = parser_.get().target();
-    const auto parsed = parse_call(parser_.get().method(), {target.data(), target.size()});
+    const auto parsed = parse_request(parser_.get().method(), {target.data(), target.size()});
     if (const auto* reply = std::get_if<OperatorReply>(&parsed)) return *reply;
-    auto call = std::get<OperatorCall>(parsed);
+    auto operator_request = std::get<OperatorCall>(parsed);
     try {
-      if (parser_.get().method() == http::verb::post) call.claim = claim_of(parser_.get(), call.what);
-      return owner_->handle_(call);
+      if (parser_.get().method() == http::verb::post)
+        operator_request.claim = parse_lease_claim(parser_.get(), operator_request.what);
+      return owner_->handle_(operator_request);
     } catch (const FenceError& error) {
       return {error.status(), error.body(), true};
     }
   }
 
-  void answer(OperatorReply reply) {
-    answering_ = true;
-    answer_.version(11);
-    answer_.result(static_cast<unsigned>(reply.status));
-    answer_.set(http::field::content_type, reply.json ? "application/json" : "text/plain; version=0.0.4");
-    if (reply.status == 405) answer_.set(http::field::allow, reply.body.substr(0, reply.body.find(' ')));
-    answer_.keep_alive(false);
-    answer_.body() = std::move(reply.body);
-    answer_.prepare_payload();
-    stream_.expires_after(kMostWrite);
-    http::async_write(stream_, answer_, [self = shared_from_this()](const Error& error, size_t) {
+  void respond(OperatorReply reply) {
+    is_responding_ = true;
+    response_.version(11);
+    response_.result(static_cast<unsigned>(reply.status));
+    response_.set(http::field::content_type, reply.json ? "application/json" : "text/plain; version=0.0.4");
+    if (reply.status == 405) response_.set(http::field::allow, reply.body.substr(0, reply.body.find(' ')));
+    response_.keep_alive(false);
+    response_.body() = std::move(reply.body);
+    response_.prepare_payload();
+    stream_.expires_after(kWriteTimeout);
+    http::async_write(stream_, response_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
       if (error) return self->close();
-      self->answering_ = false;
-      net::linger(self->stream_, {kMostLinger, kLinger}, [self] {
+      self->is_responding_ = false;
+      net::linger(self->stream_, {kMaxLingerBytes, kLingerTime}, [self] {
         if (self->owner_ != nullptr) self->close();
       });
     });
@@ -161,50 +166,52 @@
 
   Control* owner_;
   net::Stream stream_;
-  boost::beast::flat_buffer buffer_{kMostHead + kMostBody};
+  boost::beast::flat_buffer buffer_{kMaxHeadBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
-  http::response<http::string_body> answer_;
-  bool answering_ = false;
+  http::response<http::string_body> response_;
+  bool is_responding_ = false;
 };
 
-Control::Control(boost::asio::io_context& io, const tcp::endpoint& listen, Handle handle, size_t most)
-    : acceptor_(io), pause_(io), handle_(std::move(handle)), most_(most) {
+Control::Control(boost::asio::io_context& io, const tcp::endpoint& listen, Handle handle,
+                 size_t max_connections)
+    : acceptor_(io), accept_timer_(io), handle_(std::move(handle)), max_connections_(max_connections) {
   net::listen(acceptor_, listen);
   accept();
 }
 
 Control::~Control() {
-  for (const auto& caller : callers_) caller->orphan();
+  for (const auto& connection : connections_) connection->orphan();
 }
 
 void Control::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
-    if (error) {  // out of descriptors: an accept at once would spin
-      pause_.expires_after(kAcceptPause);
-      pause_.async_wait([this](const Error& stopped) {
-        if (!stopped) accept();
+    if (error) {  // out of descriptors: accepting again at once would spin
+      accept_timer_.expires_after(kAcceptPause);
+      accept_timer_.async_wait([this](const Error& wait_error) {
+        if (!wait_error) accept();
       });
       return;
     }
-    auto caller = std::make_shared<Caller>(*this, std::move(socket));
-    caller->place = callers_.insert(callers_.end(), caller);
-    caller->read();
-    if (callers_.size() <= most_) return accept();
+    auto connection = std::make_shared<Connection>(*this, std::move(socket));
+    connection->position = connections_.insert(connections_.end(), connection);
+    connection->read();
+    if (connections_.size() <= max_connections_) return accept();
     boost::asio::post(acceptor_.get_executor(), [this] { make_room(); });
   });
 }
 
-// Callers that send nothing must not shut out one that does. What had come when the newcomer did is read
-// first: this runs behind its handlers.
+// Idle connections must not shut out one with a request. Runs after the queued handlers, so requests that
+// arrived no later than the new connection are read first.
 void Control::make_room() {
-  const auto last = callers_.empty() ? callers_.end() : std::prev(callers_.end());
-  const auto spare = std::find_if(callers_.begin(), last, [](const auto& caller) { return caller->spare(); });
-  if (callers_.size() > most_ && spare != last) std::shared_ptr<Caller>(*spare)->close();
-  if (callers_.size() <= most_) return accept();
-  pause_.expires_after(kAcceptPause);
-  pause_.async_wait([this](const Error& stopped) {
-    if (!stopped) make_room();
+  const auto last = connections_.empty() ? connections_.end() : std::prev(connections_.end());
+  const auto idle =
+      std::find_if(connections_.begin(), last, [](const auto& connection) { return connection->is_idle(); });
+  if (connections_.size() > max_connections_ && idle != last) std::shared_ptr<Connection>(*idle)->close();
+  if (connections_.size() <= max_connections_) return accept();
+  accept_timer_.expires_after(kAcceptPause);
+  accept_timer_.async_wait([this](const Error& wait_error) {
+    if (!wait_error) make_room();
   });
 }
 
--- a/relay/control.h
+++ b/relay/control.h
@@ -1,5 +1,5 @@
-// The operators' address: HTTP/1.1, one call per connection. Parses calls and bounds callers; decides
-// nothing.
+// The HTTP/1.1 server for operators, with one request per connection. Parses requests and limits
+// connections; its handler makes all decisions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 struct OperatorCall {
   enum class What { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate, kFence };
   What what = What::kReady;
-  std::string id;  // of the endpoint, where the call names one
+  std::string id;  // of the endpoint, if the request names one
   std::optional<LeaseClaim> claim;
 };
 
@@ -32,28 +32,28 @@
  public:
   using Handle = std::function<OperatorReply(const OperatorCall&)>;
 
-  // Most callers at once, unless fewer are given. Beyond that the one whose call has been incomplete for
-  // longest goes, and until one has gone no other is let in.
+  // Default limit of connections. Above the limit, the connection whose request has been incomplete for
+  // longest is closed; until one can be closed no further connection is accepted.
   static constexpr size_t kMostCallers = 16;
 
-  // Listens at once; throws boost::system::system_error.
+  // Starts listening. Throws net::ListenError.
   Control(boost::asio::io_context& io, const tcp::endpoint& listen, Handle handle,
-          size_t most = kMostCallers);
+          size_t max_connections = kMostCallers);
   ~Control();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Caller;
+  class Connection;
 
   void accept();
   void make_room();
 
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer accept_timer_;
   Handle handle_;
-  size_t most_;
-  std::list<std::shared_ptr<Caller>> callers_;  // oldest first
+  size_t max_connections_;
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace turntally::relay
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -1,4 +1,4 @@
-// The list of endpoints as discovery sends it, and the handles under which the policy knows them.
+// The list of endpoints as discovery sends it, and the handles that identify endpoints to the policy.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
 struct ListedHost {
   std::string id;
   tcp::endpoint address;
-  policy::EndpointInfo member;  // its endpoint is filled in by the Directory
+  policy::EndpointInfo member;  // its handle is set by EndpointTable
   Time up_since = 0;            // wall clock of the platform; 0: long ago
-  std::string text;             // the entry as it came
+  std::string text;             // the entry as received
 };
 
 struct HostList {
@@ -34,56 +34,59 @@
   std::vector<ListedHost> hosts;
 };
 
-// The names that a list uses for zones and kinds, in the order of their numbers.
+// The names of zones and kinds in a list, in the order of their numbers.
 struct ListNames {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
   bool operator==(const ListNames&) const = default;
 };
 
-// Throws std::exception on what is not a list.
+// Parses a list. Throws std::exception if the JSON is not a list.
 HostList parse_list(const nlohmann::json& json, const ListNames& names);
 
-// A machine that takes over another's address has an id of its own, so handles stand for ids, not addresses.
+// The endpoints that have been listed, by handle. A handle stands for an id rather than an address: a
+// machine that takes over another's address has an id of its own.
 class Directory {
  public:
-  // Takes a list over; returns the event for the policy, if it changes anything. An agent may be behind what
-  // was listed before: its list then only moves hosts on, and brings none back.
+  // Applies a list and returns the event for the policy if it changes anything. An agent may lag behind what
+  // was listed before: an older list only advances endpoints towards their removal and restores none.
   std::optional<policy::EndpointListChanged> apply(const HostList& list, Time now);
 
-  // What is listed, read with other names for zones and kinds.
+  // Returns the current list, parsed with other names for zones and kinds.
   HostList read_again(const ListNames& names) const;
 
-  Endpoint handle(const std::string& id) const;  // of a host that is not forgotten; else none
+  Endpoint handle(const std::string& id) const;  // of an endpoint that is not forgotten; otherwise none
   const ListedHost* find(const Endpoint& endpoint) const;
   bool active(const Endpoint& endpoint) const;
-  bool known(int destination) const { return destinations_.contains(destination); }  // had a host at any time
+  // Returns whether the destination has had an endpoint at any time.
+  bool known(int destination) const { return destinations_.contains(destination); }
   void add_destination(int destination) { destinations_.insert(destination); }
-  // Suspended by an operator: whatever is listed, it is not active until it is resumed.
+  // Suspends an endpoint on behalf of an operator: whatever its listing is, it is not active until it is
+  // resumed.
   void suspend(const std::string& id) { suspended_.insert(id); }
   void resume(const std::string& id) { suspended_.erase(id); }
   bool suspended(const std::string& id) const { return suspended_.contains(id); }
   int64_t revision() const { return revision_; }
-  void renamed() { revision_ = -1; }  // another list from now on: its revisions are not the old one's
-  const std::map<Endpoint, ListedHost>& hosts() const { return hosts_; }
+  void renamed() { revision_ = -1; }  // a different list follows, with revisions of its own
+  const std::map<Endpoint, ListedHost>& hosts() const { return endpoints_; }
   const std::set<int>& destinations() const { return destinations_; }
 
-  // For a host that is gone and has nothing in flight any more. Its id is remembered for a while, against old
-  // lists.
+  // Forgets an endpoint that is gone and has nothing in flight. Its id is remembered for some time, so that
+  // an older list does not restore it.
   void forget(const Endpoint& endpoint);
-  const std::map<std::string, Time>& gone() const { return gone_; }
-  void add_gone(const std::string& id, Time now) { gone_[id] = now; }
-  std::vector<std::string> prune(Time now);  // the ids that are remembered no longer
+  const std::map<std::string, Time>& gone() const { return removal_times_; }
+  void add_gone(const std::string& id, Time now) { removal_times_[id] = now; }
+  std::vector<std::string> prune(Time now);  // returns the ids that are no longer remembered
 
  private:
-  bool brings_back(const ListedHost& listed) const;
-  void set(const ListedHost& listed, Time now, std::vector<policy::EndpointInfo>& changed);
+  bool restores_older_state(const ListedHost& listed) const;
+  void add_or_update(const ListedHost& listed, Time now, std::vector<policy::EndpointInfo>& changed);
 
   int64_t revision_ = -1;
   uint32_t last_handle_ = 0;
   std::map<std::string, Endpoint> handles_;
-  std::map<Endpoint, ListedHost> hosts_;
-  std::map<std::string, Time> gone_;  // when it left the list
+  std::map<Endpoint, ListedHost> endpoints_;
+  std::map<std::string, Time> removal_times_;  // by id: when the endpoint left the list
   std::set<int> destinations_;
   std::set<std::string> suspended_;
 };
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -12,38 +12,38 @@
 using Error = boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kFirstPause{50};
-constexpr milliseconds kSilence{3000};  // an empty line comes every 2 s
-// What a silent watch misses counts as known 6 s after it fell silent, which may be 3 s before that is
-// noticed; a call may have to wait for 2 s.
-constexpr milliseconds kAfterSilence{1000};
-// After SIGHUP all counts as known 4 s later: a fleet that is 4 s of discovery's work, one after another, is
-// served in time, and 1 s of it waits at the end.
-constexpr milliseconds kAfterMove{3000};
-constexpr milliseconds kLongestPushed{200};  // between calls to an agent that serves this relay only
-constexpr size_t kMostOld = 2;
-// Notices are answered at once, and each must come within 0.3 s of its message's time: a connection that fell
-// silent has to be left well before. A platform that is slow is waited for longer with each try.
-constexpr milliseconds kPostTimeout{100};
-constexpr milliseconds kLongestPost{400};
-constexpr milliseconds kLongestPostPause{200};
-constexpr size_t kMostNotices = 200;  // in one request: well under the largest body
+constexpr milliseconds kInitialRetryDelay{50};
+constexpr milliseconds kReadTimeout{3000};  // discovery sends an empty line every 2 s
+// What a silent watch misses counts as known 6 s after it went silent. The silence may be noticed only after
+// 3 s, and a call may have to wait for 2 s.
+constexpr milliseconds kMaxDelayAfterSilence{1000};
+// Everything counts as known 4 s after SIGHUP. A fleet whose calls take discovery 4 s, one after another, is
+// served in time, with 1 s of them queued at the end.
+constexpr milliseconds kMaxDelayAfterMove{3000};
+constexpr milliseconds kMaxDelayIfPushed{200};  // between calls to an agent that serves this relay only
+constexpr size_t kMaxPreviousStreams = 2;
+// Notices are answered at once, and each must arrive within 0.3 s of its message's time, so a connection
+// that went silent has to be given up well before. A slow platform is given more time with each attempt.
+constexpr milliseconds kInitialResponseTimeout{100};
+constexpr milliseconds kMaxResponseTimeout{400};
+constexpr milliseconds kMaxRetryDelay{200};
+constexpr size_t kMaxNoticesPerRequest = 200;  // well under the largest body
 
 }  // namespace
 
 Watch::Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-             ListHandler on_list, std::function<void()> current, const Pace& pace)
+             ListHandler on_list, std::function<void()> on_current, const Pace& pace)
     : io_(io),
       address_(address),
       names_(std::move(names)),
       revision_(std::move(revision)),
       on_list_(std::move(on_list)),
-      current_(std::move(current)),
-      pause_(io),
-      pushed_(pace.pushed),
+      on_current_(std::move(on_current)),
+      retry_timer_(io),
+      lists_are_pushed_(pace.pushed),
       backoff_(pace.callers, pace.seed) {
-  if (pushed_) {
-    connect_in(milliseconds(0));  // what the agent has counts from the first moment
+  if (lists_are_pushed_) {
+    connect_after(milliseconds(0));  // what the agent has counts as known from the start
   } else {
     connect_later();
   }
@@ -53,86 +53,89 @@
 
 void Watch::close() {
   if (stream_) stream_->close();
-  for (const auto& stream : old_) stream->close();
-  old_.clear();
-  pause_.expires_at(std::chrono::steady_clock::time_point::max());
+  for (const auto& stream : previous_streams_) stream->close();
+  previous_streams_.clear();
+  retry_timer_.expires_at(std::chrono::steady_clock::time_point::max());
 }
 
 void Watch::move(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  if (stream_) old_.push_back(std::exchange(stream_, nullptr));
-  if (old_.size() > kMostOld) {
-    old_.front()->close();
-    old_.erase(old_.begin());
+  if (stream_) previous_streams_.push_back(std::exchange(stream_, nullptr));
+  if (previous_streams_.size() > kMaxPreviousStreams) {
+    previous_streams_.front()->close();
+    previous_streams_.erase(previous_streams_.begin());
   }
   backoff_.reset();
   const auto now = std::chrono::steady_clock::now();
-  if (!known_by_) known_by_ = now + kAfterMove;  // further moves put that off no further
-  connect_later(std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(*known_by_ - now)));
+  // Further changes of address do not postpone the call.
+  if (!next_call_by_) next_call_by_ = now + kMaxDelayAfterMove;
+  connect_later(std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(*next_call_by_ - now)));
 }
 
-void Watch::connect_later(milliseconds most) {
-  connect_in(backoff_.next(pushed_ ? std::min(most, kLongestPushed) : most));
+void Watch::connect_later(milliseconds max_delay) {
+  connect_after(backoff_.next(lists_are_pushed_ ? std::min(max_delay, kMaxDelayIfPushed) : max_delay));
 }
 
-void Watch::connect_in(milliseconds pause) {
-  pause_.expires_after(pause);
-  pause_.async_wait([this](const Error& error) {
-    if (error || pause_.expiry() > std::chrono::steady_clock::now()) return;  // it was closed or set anew
+void Watch::connect_after(milliseconds delay) {
+  retry_timer_.expires_after(delay);
+  retry_timer_.async_wait([this](const Error& error) {
+    if (error || retry_timer_.expiry() > std::chrono::steady_clock::now()) return;  // closed, or set again
     if (!stream_) connect();
   });
 }
 
 void Watch::connect() {
-  // The stream is named by its address: it may be an old one by the time it ends.
+  // The handlers identify the stream by its address: it may be a previous one by the time it ends.
   const auto self = std::make_shared<net::Lines*>(nullptr);
   stream_ = std::make_shared<net::Lines>(
-      io_, address_, kSilence,
-      [this, self](const std::string& text) { return line(text, *self == stream_.get()); },
-      [this, self](net::Lines::End how) { lost(*self, how); });
+      io_, address_, kReadTimeout,
+      [this, self](const std::string& text) { return on_line(text, *self == stream_.get()); },
+      [this, self](net::Lines::End reason) { on_stream_ended(*self, reason); });
   *self = stream_.get();
-  called_ = std::chrono::steady_clock::now();
-  answered_ = false;
+  call_started_at_ = std::chrono::steady_clock::now();
+  is_answered_ = false;
   stream_->start("/api/targets?stream=1&index=" + std::to_string(std::max<int64_t>(0, revision_())));
 }
 
-void Watch::lost(net::Lines* stream, net::Lines::End how) {
+void Watch::on_stream_ended(net::Lines* stream, net::Lines::End reason) {
   stream->close();
-  net::log::info("watch_lost", "how", net::Lines::name_of(how), "current", stream == stream_.get() ? 1 : 0);
+  net::log::info("watch_lost", "how", net::Lines::name_of(reason), "current",
+                 stream == stream_.get() ? 1 : 0);
   if (stream != stream_.get()) {
-    return void(std::erase_if(old_, [stream](const auto& old) { return old.get() == stream; }));
+    return void(std::erase_if(previous_streams_, [stream](const auto& old) { return old.get() == stream; }));
   }
   stream_.reset();
-  if (answered_ || pushed_) {
-    return connect_later(how == net::Lines::End::kSilent ? kAfterSilence : milliseconds::max());
+  if (is_answered_ || lists_are_pushed_) {
+    return connect_later(reason == net::Lines::End::kSilent ? kMaxDelayAfterSilence : milliseconds::max());
   }
-  const auto since = std::chrono::steady_clock::now() - called_;
-  connect_in(backoff_.again(std::chrono::duration_cast<milliseconds>(since)));
+  const auto call_duration = std::chrono::steady_clock::now() - call_started_at_;
+  connect_after(backoff_.again(std::chrono::duration_cast<milliseconds>(call_duration)));
 }
 
-bool Watch::line(const std::string& text, bool on_current) {
+bool Watch::on_line(const std::string& text, bool is_current) {
   try {
     if (text.find_first_not_of(" \r\t") != std::string::npos) {
       on_list_(parse_list(nlohmann::json::parse(text), names_));
-      listed_ = true;
-    } else if (!listed_ && revision_() < 0) {  // nothing has changed: of what? That is no answer
-      return std::chrono::steady_clock::now() - called_ < kSilence;
+      has_received_list_ = true;
+    } else if (!has_received_list_ && revision_() < 0) {
+      // An empty line reports no change, which is no answer while no list is known.
+      return std::chrono::steady_clock::now() - call_started_at_ < kReadTimeout;
     }
-  } catch (const std::exception&) {  // unreadable: from the start, on a new connection
+  } catch (const std::exception&) {  // unreadable: start again on a new connection
     return false;
   }
   backoff_.reset();
-  answered_ = answered_ || on_current;
-  if (on_current) known_by_.reset();
-  current_();
+  is_answered_ = is_answered_ || is_current;
+  if (is_current) next_call_by_.reset();
+  on_current_();
   return true;
 }
 
-// A kept-alive connection for notices, one request at a time.
-class Notices::Post : public std::enable_shared_from_this<Post> {
+// A persistent connection for notices, with one request at a time.
+class Notices::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  explicit Post(Notices& owner) : owner_(&owner), stream_(owner.io_), timer_(owner.io_) {}
+  explicit Connection(Notices& owner) : owner_(&owner), stream_(owner.io_), timer_(owner.io_) {}
 
   void send(const std::string& body) {
     request_ = {};
@@ -143,10 +146,10 @@
     request_.set(http::field::content_type, "application/x-ndjson");
     request_.body() = body;
     request_.prepare_payload();
-    timer_.expires_after(owner_->patience_);
+    timer_.expires_after(owner_->response_timeout_);
     timer_.async_wait([self = shared_from_this()](const Error& error) {
       if (error) return;
-      self->silent_ = true;
+      self->timed_out_ = true;
       self->end(false);
     });
     if (stream_.is_open()) return write();
@@ -156,8 +159,8 @@
     });
   }
 
-  bool reusable() const { return reusable_; }
-  bool silent() const { return silent_; }  // it was not answered in time
+  bool is_reusable() const { return is_reusable_; }
+  bool timed_out() const { return timed_out_; }  // the request was not answered in time
 
   void close() {
     owner_ = nullptr;
@@ -169,18 +172,19 @@
   void write() {
     http::async_write(stream_, request_, [self = shared_from_this()](const Error& error, size_t) {
       if (error) return self->end(false);
-      self->answer_ = {};
-      http::async_read(self->stream_, self->buffer_, self->answer_, [self](const Error& failed, size_t) {
-        self->reusable_ = !failed && self->answer_.keep_alive();
-        self->end(!failed && self->answer_.result_int() == 204);
-      });
+      self->response_ = {};
+      http::async_read(self->stream_, self->buffer_, self->response_,
+                       [self](const Error& read_error, size_t) {
+                         self->is_reusable_ = !read_error && self->response_.keep_alive();
+                         self->end(!read_error && self->response_.result_int() == 204);
+                       });
     });
   }
 
-  void end(bool taken) {
+  void end(bool accepted) {
     timer_.cancel();
-    reusable_ = reusable_ && taken;
-    if (owner_ != nullptr) owner_->ended(taken);
+    is_reusable_ = is_reusable_ && accepted;
+    if (owner_ != nullptr) owner_->on_response(accepted);
   }
 
   Notices* owner_;
@@ -188,84 +192,84 @@
   boost::asio::steady_timer timer_;
   http::request<http::string_body> request_;
   boost::beast::flat_buffer buffer_;
-  http::response<http::string_body> answer_;
-  bool reusable_ = false;
-  bool silent_ = false;
+  http::response<http::string_body> response_;
+  bool is_reusable_ = false;
+  bool timed_out_ = false;
 };
 
 Notices::Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent)
     : io_(io),
       address_(address),
-      sent_(std::move(sent)),
-      pause_(io),
-      back_off_(kFirstPause),
-      patience_(kPostTimeout) {}
+      on_sent_(std::move(sent)),
+      retry_timer_(io),
+      retry_delay_(kInitialRetryDelay),
+      response_timeout_(kInitialResponseTimeout) {}
 
 Notices::~Notices() { close(); }
 
 void Notices::close() {
-  if (post_) post_->close();
-  post_.reset();
+  if (connection_) connection_->close();
+  connection_.reset();
   queue_.clear();
-  in_flight_ = 0;
-  pause_.cancel();
+  in_flight_count_ = 0;
+  retry_timer_.cancel();
 }
 
 void Notices::add(FinalAnswer notice) {
   queue_.push_back(std::move(notice));
-  if (queue_.size() == 1) proceed();
+  if (queue_.size() == 1) send_next();
 }
 
 void Notices::move(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  if (post_) post_->close();
-  post_.reset();
-  in_flight_ = 0;
-  pause_.cancel();
-  back_off_ = kFirstPause;
-  patience_ = kPostTimeout;
-  proceed();
+  if (connection_) connection_->close();
+  connection_.reset();
+  in_flight_count_ = 0;
+  retry_timer_.cancel();
+  retry_delay_ = kInitialRetryDelay;
+  response_timeout_ = kInitialResponseTimeout;
+  send_next();
 }
 
-void Notices::proceed() {
-  if (in_flight_ > 0 || queue_.empty()) return;
+void Notices::send_next() {
+  if (in_flight_count_ > 0 || queue_.empty()) return;
   std::string body;
-  for (; in_flight_ < std::min(queue_.size(), kMostNotices); ++in_flight_) {
-    const FinalAnswer& notice = queue_[in_flight_];
+  for (; in_flight_count_ < std::min(queue_.size(), kMaxNoticesPerRequest); ++in_flight_count_) {
+    const FinalAnswer& notice = queue_[in_flight_count_];
     nlohmann::json line = {{"id", notice.id}, {"state", notice.returned ? "returned" : "failed"}};
     if (notice.returned && notice.retry_after > 0) line["after_ms"] = (notice.retry_after + 999) / 1000;
     body += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
   }
-  if (!post_) post_ = std::make_shared<Post>(*this);
-  post_->send(body);
+  if (!connection_) connection_ = std::make_shared<Connection>(*this);
+  connection_->send(body);
 }
 
-void Notices::ended(bool taken) {
-  const bool silent = post_->silent();
-  if (!post_->reusable()) {
-    post_->close();
-    post_.reset();
+void Notices::on_response(bool accepted) {
+  const bool timed_out = connection_->timed_out();
+  if (!connection_->is_reusable()) {
+    connection_->close();
+    connection_.reset();
   }
-  if (taken) {
-    for (; in_flight_ > 0; --in_flight_) {
-      sent_(queue_.front().id);
+  if (accepted) {
+    for (; in_flight_count_ > 0; --in_flight_count_) {
+      on_sent_(queue_.front().id);
       queue_.pop_front();
     }
-    back_off_ = kFirstPause;
-    patience_ = kPostTimeout;
-    return proceed();
+    retry_delay_ = kInitialRetryDelay;
+    response_timeout_ = kInitialResponseTimeout;
+    return send_next();
   }
-  net::log::info("notices_not_taken", "count", in_flight_, "silent", silent ? 1 : 0);
-  in_flight_ = 0;
-  if (silent) {  // it has waited already: on a new connection at once
-    patience_ = std::min(2 * patience_, kLongestPost);
-    return proceed();
+  net::log::info("notices_not_taken", "count", in_flight_count_, "silent", timed_out ? 1 : 0);
+  in_flight_count_ = 0;
+  if (timed_out) {  // the timeout was delay enough: retry at once on a new connection
+    response_timeout_ = std::min(2 * response_timeout_, kMaxResponseTimeout);
+    return send_next();
   }
-  pause_.expires_after(back_off_);
-  back_off_ = std::min(2 * back_off_, kLongestPostPause);
-  pause_.async_wait([this](const Error& error) {
-    if (!error) proceed();
+  retry_timer_.expires_after(retry_delay_);
+  retry_delay_ = std::min(2 * retry_delay_, kMaxRetryDelay);
+  retry_timer_.async_wait([this](const Error& error) {
+    if (!error) send_next();
   });
 }
 
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -1,4 +1,5 @@
-// Discovery: the watch on the list of endpoints, and the notices that carry final answers to clients.
+// Connections to discovery: the watch on the list of endpoints, and the notices that carry final answers to
+// clients.
 #pragma once
 
 #include <array>
@@ -22,57 +23,58 @@
 
 namespace turntally::relay {
 
-// Follows the watch for as long as it lives: a connection that ends or falls silent is opened again.
-// Discovery may move to another address: what the old one has written still counts, so it is read to its
-// end.
+// Watches discovery's list of endpoints. A connection that ends or goes silent is opened again. When
+// discovery moves to another address, connections to the old one are read to their end, as what it has
+// written still counts.
 class Watch {
  public:
   using ListHandler = std::function<void(const HostList&)>;
-  using Revision = std::function<int64_t()>;  // the one that is known; below 0: no list is
+  using Revision = std::function<int64_t()>;  // the known revision; below 0: no list is known
 
-  // How calls are spread over time. Where lists are pushed the agent is this relay's own and answers at once,
-  // and what it has counts as known: then no call waits for the fleet's others.
+  // Determines how calls are spread over time. If lists are pushed, the agent serves this relay only and
+  // answers at once, and what it has counts as known: then calls are not delayed for the sake of other
+  // relays.
   struct Pace {
-    int callers = 1;  // that call the same discovery
+    int callers = 1;  // relays that call the same discovery
     bool pushed = false;
     uint64_t seed = 0;
   };
 
-  // `current` is called after each line: all that there was has been read.
+  // `on_current` is called after each line, when everything that was available has been read.
   Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-        ListHandler on_list, std::function<void()> current, const Pace& pace);
+        ListHandler on_list, std::function<void()> on_current, const Pace& pace);
   ~Watch();
 
   void move(const tcp::endpoint& address);
   void rename(ListNames names) { names_ = std::move(names); }
-  void close();  // for good
+  void close();  // permanently
 
  private:
   void connect();
-  void connect_later(std::chrono::milliseconds most = std::chrono::milliseconds::max());
-  void connect_in(std::chrono::milliseconds pause);
-  void lost(net::Lines* stream, net::Lines::End how);
-  bool line(const std::string& text, bool on_current);
+  void connect_later(std::chrono::milliseconds max_delay = std::chrono::milliseconds::max());
+  void connect_after(std::chrono::milliseconds delay);
+  void on_stream_ended(net::Lines* stream, net::Lines::End reason);
+  bool on_line(const std::string& text, bool is_current);
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
   ListNames names_;
   Revision revision_;
   ListHandler on_list_;
-  std::function<void()> current_;
-  boost::asio::steady_timer pause_;
-  bool pushed_;
+  std::function<void()> on_current_;
+  boost::asio::steady_timer retry_timer_;
+  bool lists_are_pushed_;
   net::Backoff backoff_;
   std::shared_ptr<net::Lines> stream_;
-  std::chrono::steady_clock::time_point called_;  // when that was begun,
-  bool answered_ = false;                         // and whether it was answered
-  std::optional<std::chrono::steady_clock::time_point>
-      known_by_;                                  // since a move: the next call is made by then
-  bool listed_ = false;                           // a list has come
-  std::vector<std::shared_ptr<net::Lines>> old_;  // of addresses before, until they end
+  std::chrono::steady_clock::time_point call_started_at_;  // when stream_ was opened
+  bool is_answered_ = false;                               // whether stream_ has been answered
+  // After a change of address: when the next call is made at the latest.
+  std::optional<std::chrono::steady_clock::time_point> next_call_by_;
+  bool has_received_list_ = false;
+  std::vector<std::shared_ptr<net::Lines>> previous_streams_;  // to earlier addresses, until they end
 };
 
-// Sends notices, each again until it is answered with 204.
+// Sends notices, and repeats each until it is answered with 204.
 class Notices {
  public:
   using Sent = std::function<void(const std::string& id)>;
@@ -81,26 +83,26 @@
   ~Notices();
 
   void add(FinalAnswer notice);
-  // What is unanswered goes to the new address, at once.
+  // Changes the address and sends unanswered notices to it at once.
   void move(const tcp::endpoint& address);
   bool empty() const { return queue_.empty(); }
-  void close();  // for good: what is unanswered is another process's
+  void close();  // permanently; unanswered notices are left to another process
 
  private:
-  class Post;
+  class Connection;
 
-  void proceed();
-  void ended(bool taken);
+  void send_next();
+  void on_response(bool accepted);
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
-  Sent sent_;
-  boost::asio::steady_timer pause_;
-  std::chrono::milliseconds back_off_;
-  std::chrono::milliseconds patience_;  // how long the next request may go without its answer
+  Sent on_sent_;
+  boost::asio::steady_timer retry_timer_;
+  std::chrono::milliseconds retry_delay_;
+  std::chrono::milliseconds response_timeout_;  // limit for the response to the next request
   std::deque<FinalAnswer> queue_;
-  size_t in_flight_ = 0;  // notices at the front that are sent
-  std::shared_ptr<Post> post_;
+  size_t in_flight_count_ = 0;  // notices at the front of queue_ that have been sent
+  std::shared_ptr<Connection> connection_;
 };
 
 }  // namespace turntally::relay
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -1,4 +1,5 @@
-// The state folder's ownership, and its way from a process to the one that takes over from it while both run.
+// Ownership of the state folder, and its transfer from a running process, the predecessor, to the process
+// that takes over from it, the successor.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,56 +18,56 @@
 
 struct HandoverFrame {
   enum Kind : char {
-    kFolder = 'F',    // the right to the state folder
+    kFolder = 'F',    // the lock of the state folder
     kCall = 'C',      // a call that is still in flight
-    kListener = 'L',  // where clients connect, if it is still open; the last that is waited for
+    kListener = 'L',  // the listener for clients, if it is still open; the last frame that is waited for
     kClient = 'S',    // a client's connection
-    kEnded = 'E',     // the end of a message's attempt in such a call
-    kCancel = 'X'     // from the successor: such a call is to be cancelled
+    kEnded = 'E',     // the end of a message's attempt in a call in flight
+    kCancel = 'X'     // from the successor: a call in flight is to be cancelled
   };
   Kind kind = kFolder;
   std::string text;
   Descriptor descriptor;
-  bool truncated = false;  // a part of the text or a descriptor was lost on the way
+  bool truncated = false;  // part of the text or a descriptor was lost in transit
 };
 
 class Handover {
  public:
-  using FrameHandler =
-      std::function<void(std::optional<HandoverFrame>)>;  // nothing: the other process is gone
-  // Whether the next frame may be taken. `has_descriptor`: the process can take one more descriptor; where it
-  // cannot the answer is no, and room is to be made.
+  // Called with a frame, or with nothing once the other process is gone.
+  using FrameHandler = std::function<void(std::optional<HandoverFrame>)>;
+  // Returns whether the next frame may be received. `has_descriptor`: the process can take one more
+  // descriptor. If it cannot, the function makes room and returns false.
   using RoomCheck = std::function<bool(bool has_descriptor)>;
 
-  // Waits until the folder is this process's own: free, or given by its owner. Throws StateUnusable or
-  // NotHandedOver if it becomes neither.
+  // Waits until this process owns the folder, because it is free or its owner hands it over. Throws
+  // StateUnusable or NotHandedOver if neither happens.
   Handover(boost::asio::io_context& io, const std::filesystem::path& folder);
 
   bool taken_over() const { return predecessor_.is_open(); }
 
-  // From the predecessor: the next frame, waited for unless that process is gone or stalls.
+  // Waits for the next frame of the predecessor and returns it; nothing if that process is gone or stalls.
   std::optional<HandoverFrame> next_frame();
-  // All that come later, as many in a turn as are there. Each waits in its socket, and the predecessor with
-  // it, until the process can take one more descriptor and `has_room` is true, but for `has_room` not longer
-  // than kMaxRoomWait.
+  // Passes all further frames of the predecessor to `handler`, as many per turn as have arrived. A frame
+  // stays in the socket, and the predecessor waits, until this process can take one more descriptor and
+  // `has_room` returns true; `has_room` delays a frame by kMaxRoomWait at most.
   void listen_to_predecessor(FrameHandler handler, RoomCheck has_room);
   bool send_to_predecessor(HandoverFrame::Kind kind, const std::string& text) {
     return send(predecessor_, kind, text, -1);
   }
 
-  // Calls `on_successor` once, when a process connects to take over. It is then sent frames, kFolder first.
-  // Where the platform has no local sockets none can connect: the log says so in one line.
+  // Calls `on_successor` once when a process connects to take over. That process is then sent frames,
+  // kFolder first. On a platform without local sockets none can connect, which is logged in one line.
   void await_successor(std::function<void()> on_successor);
   bool send_folder_lock();
   bool send_frame(HandoverFrame::Kind kind, const std::string& text, int descriptor = -1);
   void listen_to_successor(FrameHandler handler) { listen_to(successor_, std::move(handler)); }
   bool has_successor() const { return successor_.is_open(); }
-  void drop_successor();  // the hand-over failed: waits for the next one
+  void drop_successor();  // after a failed hand-over; waits for the next successor
 
  private:
   using Stream = boost::asio::posix::stream_descriptor;
 
-  // What one look at a socket gave.
+  // The result of one non-blocking receive.
   struct Received {
     enum class Status { kFrame, kNothingYet, kGone };
     Status status = Status::kGone;
@@ -81,20 +82,20 @@
   bool may_receive();
   void await_predecessor();
   void accept_successor();
-  void retry_await();  // sockets run short for a moment
+  void retry_await();  // after a temporary shortage of sockets
 
   Descriptor lock_;
-  std::string name_;  // of the local socket
+  std::string socket_name_;
   Stream predecessor_;
   Stream listener_;
   Stream successor_;
-  boost::asio::steady_timer retry_;
+  boost::asio::steady_timer retry_timer_;
   std::function<void()> on_successor_;
   FrameHandler on_predecessor_frame_;
   RoomCheck has_room_;
-  DescriptorReserve reserve_;  // while frames of the predecessor may come
+  DescriptorReserve reserve_;  // held while frames of the predecessor may arrive
   boost::asio::steady_timer room_timer_;
-  std::chrono::steady_clock::time_point waits_for_room_since_;  // zero: it does not wait
+  std::chrono::steady_clock::time_point waits_for_room_since_;  // zero: no frame waits for room
 };
 
 }  // namespace turntally::relay
--- a/relay/handover_frames.cpp
+++ b/relay/handover_frames.cpp
@@ -13,7 +13,7 @@
 constexpr Time kMaxTime = Time{1} << 53;  // 285 years in microseconds: sums of such times do not overflow
 constexpr int kMaxAttemptNumber = 1'000'000;
 
-constexpr const char* kHostKey = "host";
+constexpr const char* kEndpointIdKey = "host";
 constexpr const char* kStartedAtKey = "since";
 constexpr const char* kAttemptNumbersKey = "messages";
 
@@ -28,7 +28,7 @@
 constexpr const char* kSinceKey = "since";
 constexpr const char* kReceivedAtKey = "came";
 constexpr const char* kCommandSinceKey = "began";
-constexpr const char* kHasSpokenKey = "spoke";
+constexpr const char* kHasSentCommandKey = "spoke";
 
 class OutOfRange : public std::runtime_error {
  public:
@@ -36,10 +36,10 @@
 };
 
 int64_t integer_up_to(const nlohmann::json& value, int64_t max) {
-  if (!value.is_number_integer()) throw OutOfRange("a number is none");
+  if (!value.is_number_integer()) throw OutOfRange("expected an integer");
   const bool is_too_large = value.is_number_unsigned() && value.get<uint64_t>() > static_cast<uint64_t>(max);
   if (is_too_large || value.get<int64_t>() < 0 || value.get<int64_t>() > max) {
-    throw OutOfRange("a number is out of range");
+    throw OutOfRange("integer is out of range");
   }
   return value.get<int64_t>();
 }
@@ -55,7 +55,7 @@
       integer_up_to(value, static_cast<int64_t>(policy::Outcome::kMalformedResponse)));
 }
 
-// Parses the text with `read` and turns whatever is wrong with it into the error of this kind of frame.
+// Parses the text as JSON, passes it to `read`, and converts errors to the error of this kind of frame.
 template <class Read>
 auto parse_frame(char kind, std::string_view text, Read read) {
   try {
@@ -71,14 +71,14 @@
 
 std::string InFlightCallFrame::text() const {
   return nlohmann::json{
-      {kHostKey, host_id}, {kStartedAtKey, started_at}, {kAttemptNumbersKey, attempt_numbers}}
+      {kEndpointIdKey, host_id}, {kStartedAtKey, started_at}, {kAttemptNumbersKey, attempt_numbers}}
       .dump();
 }
 
 InFlightCallFrame InFlightCallFrame::parse(const std::string& text) {
   return parse_frame(HandoverFrame::kCall, text, [](const nlohmann::json& json) {
     InFlightCallFrame frame;
-    frame.host_id = json.at(kHostKey).get<std::string>();
+    frame.host_id = json.at(kEndpointIdKey).get<std::string>();
     frame.started_at = time_from(json.at(kStartedAtKey));
     for (const auto& [id, attempt] : json.at(kAttemptNumbersKey).items())
       frame.attempt_numbers[id] = attempt_number_from(attempt);
@@ -120,7 +120,7 @@
   const nlohmann::json state = {{kSinceKey, since},
                                 {kReceivedAtKey, received_at},
                                 {kCommandSinceKey, command_since},
-                                {kHasSpokenKey, has_spoken}};
+                                {kHasSentCommandKey, has_spoken}};
   return state.dump() + "\n" + unread;
 }
 
@@ -132,7 +132,7 @@
                                     state.since = time_from(json.at(kSinceKey));
                                     state.received_at = time_from(json.at(kReceivedAtKey));
                                     state.command_since = time_from(json.at(kCommandSinceKey));
-                                    state.has_spoken = json.at(kHasSpokenKey).get<bool>();
+                                    state.has_spoken = json.at(kHasSentCommandKey).get<bool>();
                                     return state;
                                   });
   if (end < text.size()) frame.unread = text.substr(end + 1);
--- a/relay/handover_frames.h
+++ b/relay/handover_frames.h
@@ -1,6 +1,6 @@
-// The texts of the frames by which one process hands over to the next. Both ends may be of different
-// versions: names and values of the texts never change. Each parse() throws HandoverFrameInvalid on what is
-// no such text, and whatever it returns is within the ranges named.
+// Texts of the frames by which one process hands over to the next. Both processes may be of different
+// versions, so names and values in the texts never change. Each parse() throws HandoverFrameInvalid for any
+// other text, and the values that it returns are within range.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 
 // Text of HandoverFrame::kCall: a call that the predecessor still has in flight.
 struct InFlightCallFrame {
-  std::string host_id;                         // empty: the endpoint is not known any more
+  std::string host_id;                         // empty: the endpoint is no longer known
   Time started_at = 0;                         // microseconds of the machine's steady clock
   std::map<std::string, int> attempt_numbers;  // by message id
 
@@ -20,21 +20,21 @@
   static InFlightCallFrame parse(const std::string& text);
 };
 
-// Text of HandoverFrame::kEnded: the end of one message's attempt in such a call.
+// Text of HandoverFrame::kEnded: the end of one message's attempt in a call in flight.
 struct AttemptEndedFrame {
   std::string message_id;
-  policy::AttemptEnded end;  // without the message's number, the attempt's and the endpoint
+  policy::AttemptEnded end;  // without message number, attempt number and endpoint
   bool call_started = false;
 
   std::string text() const;
   static AttemptEndedFrame parse(const std::string& text);
 };
 
-// Text of HandoverFrame::kClient: what must be known of a client's connection. Times are microseconds of the
+// Text of HandoverFrame::kClient: the state of a client's connection. Times are microseconds of the
 // machine's steady clock.
 struct ClientFrame {
-  Time since = 0;          // when it connected or was last answered
-  Time received_at = 0;    // when the newest byte came
+  Time since = 0;          // when the client connected or was last answered
+  Time received_at = 0;    // when the newest byte arrived
   Time command_since = 0;  // when the first byte of an unfinished command was read; 0: none has begun
   bool has_spoken = false;
   std::string unread;  // bytes of the unfinished command
--- a/relay/metrics.h
+++ b/relay/metrics.h
@@ -1,4 +1,4 @@
-// What operators see of the relay, in the Prometheus text format. Totals count from the start of the process.
+// Metrics of the relay in the Prometheus text format. Totals count from the start of the process.
 #pragma once
 
 #include <cstddef>
@@ -15,24 +15,24 @@
   uint64_t error = 0;     // failed
 };
 
-// Only where a registry is followed.
+// Metrics of a relay that follows a registry.
 struct RegistryMetrics {
-  double age_s = 0;    // since a member last confirmed that the list is its newest; under 0: not yet
+  double age_s = 0;    // since a member last confirmed that the list is its newest; below 0: not yet
   bool held = false;   // a list waits to be confirmed
-  uint64_t holds = 0;  // how often one did
+  uint64_t holds = 0;  // how often a list had to wait
   uint64_t moves = 0;  // to another member
 };
 
 struct Metrics {
   std::map<std::string, ClassMetrics> classes;
-  uint64_t dispatches = 0;  // messages written whole to endpoints
+  uint64_t dispatches = 0;  // messages written completely to endpoints
   uint64_t reload_success = 0;
   uint64_t reload_failure = 0;
-  size_t concurrent = 0;        // messages taken but not ended
-  size_t targets = 0;           // endpoints listed
-  size_t targets_disabled = 0;  // and of these avoided now
+  size_t concurrent = 0;        // messages accepted but not ended
+  size_t targets = 0;           // listed endpoints
+  size_t targets_disabled = 0;  // listed endpoints that are currently avoided
   std::optional<RegistryMetrics> registry;
-  std::optional<uint64_t> handover_frames_rejected;  // only where this process has taken over from another
+  std::optional<uint64_t> handover_frames_rejected;  // set only if this process has taken over from another
 
   std::string text() const;
 };
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -17,21 +17,22 @@
 class RespParser {
  public:
   static constexpr size_t kMostWords = 16;
-  static constexpr size_t kMostWord = size_t{64} * 1024;  // the largest body
+  static constexpr size_t kMostWord = size_t{64} * 1024;  // the largest message body
   static constexpr size_t kMostBytes = kMostWord + size_t{8} * 1024;
 
   void feed(std::string_view bytes);
 
-  // The next whole command; nothing if more bytes are needed. Throws RespError on what is no command.
+  // Returns the next complete command, or nothing if more bytes are needed. Throws RespError if the bytes
+  // are not a command.
   std::optional<std::vector<std::string>> next();
 
-  // What has come and was not returned.
-  std::string_view unread() const { return std::string_view(buffer_).substr(read_); }
-  bool empty() const { return read_ == buffer_.size(); }
+  // Returns the bytes that have not been returned as a command.
+  std::string_view unread() const { return std::string_view(buffer_).substr(returned_end_); }
+  bool empty() const { return returned_end_ == buffer_.size(); }
 
  private:
   std::string buffer_;
-  size_t read_ = 0;  // what stands before it was returned
+  size_t returned_end_ = 0;  // end of the part that has been returned
 };
 
 }  // namespace turntally::relay
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -10,21 +10,22 @@
 using Error = boost::system::error_code;
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kIdleMargin = kSecond;  // idle connections go so long before the endpoint closes them
+// Idle connections are closed this long before the endpoint closes them.
+constexpr Time kIdleMargin = kSecond;
 constexpr Time kHealthCheckTimeout = 1500 * 1000;
 constexpr size_t kMaxIdlePerEndpoint = 64;
 
 }  // namespace
 
 Upstream::Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-                   MayStart may_start, Ended ended, Probed probed)
+                   MayStart may_start, Ended on_attempt_ended, Probed on_health_check_ended)
     : io_(io),
       limits_(limits),
       report_fields_(std::move(report_fields)),
       may_start_(std::move(may_start)),
-      ended_(std::move(ended)),
-      probed_(std::move(probed)),
-      sweeper_(io) {
+      on_attempt_ended_(std::move(on_attempt_ended)),
+      on_health_check_ended_(std::move(on_health_check_ended)),
+      sweep_timer_(io) {
   sweep();
 }
 
@@ -37,15 +38,15 @@
   report_fields_ = std::move(report_fields);
 }
 
-void Upstream::call(Call one) { call(std::vector<Call>{std::move(one)}); }
+void Upstream::call(Call call_to_send) { call(std::vector<Call>{std::move(call_to_send)}); }
 
-void Upstream::call(std::vector<Call> bundle) {
-  start(std::make_shared<Exchange>(*this, std::move(bundle), false));
+void Upstream::call(std::vector<Call> batch) {
+  start(std::make_shared<Exchange>(*this, std::move(batch), false));
 }
 
 void Upstream::check_health(const Endpoint& endpoint, const tcp::endpoint& address) {
   Call call;
-  call.id = ++last_probe_;
+  call.id = ++last_health_check_;
   call.endpoint = endpoint;
   call.address = address;
   call.timeout = kHealthCheckTimeout;
@@ -90,25 +91,27 @@
   const auto it = idle_.find(endpoint);
   if (it == idle_.end()) return {};
   while (!it->second.empty()) {
-    Idle last = std::move(it->second.back());
+    Idle candidate = std::move(it->second.back());
     it->second.pop_back();
     --idle_count_;
-    Error gone;
-    const bool same = last.stream.socket().remote_endpoint(gone) == address && !gone;
-    const bool young = steady_now() - last.since < limits_.idle - kIdleMargin;
-    if (same && young && is_silent(last.stream)) return last;
+    Error peer_error;
+    const bool is_same_address =
+        candidate.stream.socket().remote_endpoint(peer_error) == address && !peer_error;
+    const bool is_fresh = steady_now() - candidate.since < limits_.idle - kIdleMargin;
+    if (is_same_address && is_fresh && has_no_input(candidate.stream)) return candidate;
   }
   return {};
 }
 
 void Upstream::put_idle(const Endpoint& endpoint, net::Stream stream) {
-  std::vector<Idle>& list = idle_[endpoint];
-  if (list.size() >= kMaxIdlePerEndpoint || exchanges_.size() + idle_count_ >= limits_.most_open) return;
-  list.push_back({std::move(stream), steady_now()});
+  std::vector<Idle>& connections = idle_[endpoint];
+  if (connections.size() >= kMaxIdlePerEndpoint || exchanges_.size() + idle_count_ >= limits_.most_open)
+    return;
+  connections.push_back({std::move(stream), steady_now()});
   ++idle_count_;
 }
 
-// Makes room for a call: of all idle connections the one used least recently goes.
+// Makes room for a call by closing the least recently used idle connection.
 void Upstream::close_oldest() {
   const auto oldest = std::min_element(idle_.begin(), idle_.end(), [](const auto& a, const auto& b) {
     return !a.second.empty() && (b.second.empty() || a.second.front().since < b.second.front().since);
@@ -119,14 +122,14 @@
 
 void Upstream::sweep() {
   const Time now = steady_now();
-  for (auto& [endpoint, list] : idle_) {
-    idle_count_ -= std::erase_if(list, [&](Idle& idle) {
-      return now - idle.since >= limits_.idle - kIdleMargin || !is_silent(idle.stream);
+  for (auto& [endpoint, connections] : idle_) {
+    idle_count_ -= std::erase_if(connections, [&](Idle& idle) {
+      return now - idle.since >= limits_.idle - kIdleMargin || !has_no_input(idle.stream);
     });
   }
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
-  sweeper_.expires_after(std::chrono::milliseconds(250));
-  sweeper_.async_wait([this](const Error& error) {
+  sweep_timer_.expires_after(std::chrono::milliseconds(250));
+  sweep_timer_.async_wait([this](const Error& error) {
     if (!error) sweep();
   });
 }
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -1,5 +1,5 @@
-// Calls to endpoints over persistent HTTP/1.1 connections, each with one message or a batch of them. Nothing
-// is ever sent again by itself.
+// Calls to endpoints over persistent HTTP/1.1 connections, each with one message or a batch. Never sends
+// anything again on its own.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,8 @@
 
 namespace turntally::relay {
 
-struct Call {       // one message's attempt in a call
+// One message's attempt in a call.
+struct Call {
   uint64_t id = 0;  // the policy's number of the message
   int attempt = 0;
   Endpoint endpoint;
@@ -27,11 +28,11 @@
   std::string key;
   std::string body;
   Time timeout = 0;
-  Time start_by = std::numeric_limits<Time>::max();  // no byte of it may be written later
-  bool last = false;  // the time-out is the message's end: it is not sent again after it
+  Time start_by = std::numeric_limits<Time>::max();  // no byte may be written later than this
+  bool last = false;  // the message ends with this attempt's timeout: it is not sent again
 };
 
-// A message's part of the body of a call with several.
+// Returns a message's part of the body of a call that carries a batch.
 std::string bundle_line(const Call& call);
 constexpr size_t kMostBundle = size_t{64} * 1024;
 
@@ -39,25 +40,28 @@
  public:
   struct Limits {
     Time connect_timeout = 0;
-    Time idle = 0;           // an endpoint closes a connection that is idle for so long
-    size_t most_open = 256;  // connections, with a call on them or idle
+    Time idle = 0;           // after which an endpoint closes an idle connection
+    size_t most_open = 256;  // with a call on them or idle
   };
-  // Called right before a call's first byte, for each message: one that may not start ends as kNotStarted.
+  // Called for each message right before the first byte of its call; a message that may not start ends as
+  // kNotStarted.
   using MayStart = std::function<bool(const Call&)>;
-  using Ended = std::function<void(const policy::AttemptEnded&, bool began)>;  // began: MayStart allowed it
+  // `call_started`: MayStart returned true.
+  using Ended = std::function<void(const policy::AttemptEnded&, bool call_started)>;
   using Probed = std::function<void(const policy::HealthCheckEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-           MayStart may_start, Ended ended, Probed probed);
+           MayStart may_start, Ended on_attempt_ended, Probed on_health_check_ended);
   ~Upstream();
 
-  // For what starts from now on.
+  // Applies to calls that start from now on.
   void set(Limits limits, std::vector<std::string> report_fields);
 
   void call(Call call);
-  // All to one host, in one call: one slot, and one connection. Their bundle lines are kMostBundle at most.
-  void call(std::vector<Call> bundle);
-  // Ends the whole call that the message travels in.
+  // Sends all messages to one endpoint in one call, which takes one slot and one connection. Their parts of
+  // the body are kMaxBatchBodyBytes at most.
+  void call(std::vector<Call> batch);
+  // Ends the whole call that carries the message.
   void cancel(uint64_t id, int attempt);
   void check_health(const Endpoint& endpoint, const tcp::endpoint& address);
   void close_idle(const Endpoint& endpoint);
@@ -73,9 +77,9 @@
     std::vector<InFlightAttempt> attempts;
   };
   std::vector<InFlightCall> in_flight_calls() const;
-  void close_idle();  // to all hosts
+  void close_idle();  // to all endpoints
   size_t in_flight_count() const { return exchanges_.size(); }
-  uint64_t written() const { return written_; }
+  uint64_t written() const { return messages_written_; }
 
  private:
   class Exchange;
@@ -94,14 +98,15 @@
   Limits limits_;
   std::vector<std::string> report_fields_;
   MayStart may_start_;
-  Ended ended_;
-  Probed probed_;
-  boost::asio::steady_timer sweeper_;
-  uint64_t last_probe_ = 0;
-  uint64_t written_ = 0;  // messages, whole
+  Ended on_attempt_ended_;
+  Probed on_health_check_ended_;
+  boost::asio::steady_timer sweep_timer_;
+  uint64_t last_health_check_ = 0;
+  uint64_t messages_written_ = 0;  // messages written completely
   size_t idle_count_ = 0;
   std::map<Endpoint, std::vector<Idle>> idle_;  // the most recently used last
-  std::map<std::tuple<bool, uint64_t, int>, std::shared_ptr<Exchange>> exchanges_;  // by their first message
+  // By kind (health check or not) and first message.
+  std::map<std::tuple<bool, uint64_t, int>, std::shared_ptr<Exchange>> exchanges_;
 };
 
 }  // namespace turntally::relay
--- a/relay/upstream_exchange.cpp
+++ b/relay/upstream_exchange.cpp
@@ -14,27 +14,29 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr unsigned kHttpVersion = 11;  // 1.1, as Beast writes it
+constexpr unsigned kHttpVersion = 11;  // 1.1 in Beast's notation
 constexpr Time kSecond = 1'000'000;
 
-constexpr Time kResponseTime =
-    300 * 1000;  // an answer that has begun is whole within this time, or it never will be
-constexpr Time kSilence = 2 * 1000;  // what a host sends behind an answer comes within this time
+// A response that has begun is complete within this time or never.
+constexpr Time kMaxResponseTime = 300 * 1000;
+// Data that an endpoint sends after a response arrives within this time.
+constexpr Time kReuseDelay = 2 * 1000;
 constexpr Time kMaxRetryAfter = 3600 * kSecond;
-constexpr double kMaxReported = 1e9;
-constexpr std::string_view kVersion = "HTTP/1.";
+constexpr double kMaxReportedValue = 1e9;
+constexpr std::string_view kVersionPrefix = "HTTP/1.";
 
-// A whole status line with 200, also where nothing behind it can be read. One that breaks off after its code
-// proves no delivery: the host counts a message as delivered with that line's last byte.
-bool says_ok(std::string_view head) {
+// Returns whether the bytes begin with a complete status line with status 200, also if nothing after it can
+// be parsed. A line that breaks off after its status proves no delivery: the endpoint counts a message as
+// delivered with the last byte of that line.
+bool is_ok_status_line(std::string_view head) {
   constexpr std::string_view kStatus = " 200";
-  const size_t code = kVersion.size() + 1;
-  return head.starts_with(kVersion) && head.find('\n') != head.npos && head.size() > code + kStatus.size() &&
-         head.substr(code, kStatus.size()) == kStatus &&
+  const size_t code = kVersionPrefix.size() + 1;
+  return head.starts_with(kVersionPrefix) && head.find('\n') != head.npos &&
+         head.size() > code + kStatus.size() && head.substr(code, kStatus.size()) == kStatus &&
          std::string_view(" \r\n").find(head[code + kStatus.size()]) != std::string_view::npos;
 }
 
-std::optional<double> decimal(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value) || value < 0)
@@ -42,16 +44,17 @@
   return value;
 }
 
-// A wait that is no number is none. One that outlasts every pending message binds those that come later; a
-// mistaken number must not bar an endpoint for good.
+// Returns 0 if the text is not a number. A wait that outlasts every pending message is kept, as it binds
+// later ones, but limited: a mistaken number must not exclude an endpoint for good.
 Time parse_retry_after(std::string_view text) {
-  const auto longest = static_cast<double>(kMaxRetryAfter);
-  return static_cast<Time>(std::ceil(std::min(decimal(text).value_or(0) * 1e6, longest)));
+  const auto max_retry_after = static_cast<double>(kMaxRetryAfter);
+  return static_cast<Time>(std::ceil(std::min(parse_decimal(text).value_or(0) * 1e6, max_retry_after)));
 }
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view to_string_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// All of it or nothing: a field that cannot be read would pass for a limit or a load of zero.
+// Returns the reported fields, or nothing if one of them cannot be parsed: it would be taken for a limit or
+// a load of zero.
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields) {
   if (fields.empty() || text.empty()) return {};
   std::vector<float> report(fields.size(), std::numeric_limits<float>::quiet_NaN());  // not reported
@@ -62,8 +65,8 @@
     if (equals == std::string_view::npos) return {};
     const auto field = std::find(fields.begin(), fields.end(), item.substr(0, equals));
     if (field == fields.end()) continue;
-    const auto value = decimal(item.substr(equals + 1));
-    if (!value || *value > kMaxReported) return {};
+    const auto value = parse_decimal(item.substr(equals + 1));
+    if (!value || *value > kMaxReportedValue) return {};
     report[static_cast<size_t>(field - fields.begin())] = static_cast<float>(*value);
   }
   return report;
@@ -71,13 +74,13 @@
 
 }  // namespace
 
-bool is_silent(net::Stream& stream) {
+bool has_no_input(net::Stream& stream) {
   char byte = 0;
-  ssize_t got = 0;
+  ssize_t byte_count = 0;
   do {
-    got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  } while (got < 0 && errno == EINTR);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    byte_count = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (byte_count < 0 && errno == EINTR);
+  return byte_count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 std::string bundle_line(const Call& call) {
@@ -98,52 +101,52 @@
 
 bool Upstream::Exchange::has_attempt(uint64_t id, int number) const {
   return !is_health_check_ && std::any_of(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
-    return !attempt.over && attempt.call.id == id && attempt.call.attempt == number;
+    return !attempt.ended && attempt.call.id == id && attempt.call.attempt == number;
   });
 }
 
 std::optional<Upstream::InFlightCall> Upstream::Exchange::in_flight() const {
   InFlightCall call{started_at_, endpoint_, {}};
   for (const Attempt& attempt : attempts_) {
-    if (!attempt.over) call.attempts.push_back({attempt.call.id, attempt.call.attempt});
+    if (!attempt.ended) call.attempts.push_back({attempt.call.id, attempt.call.attempt});
   }
   return is_health_check_ || call.attempts.empty() ? std::nullopt : std::optional(std::move(call));
 }
 
 void Upstream::Exchange::start() {
   started_at_ = steady_now();
-  Time longest = 0;
-  Time shortest = std::numeric_limits<Time>::max();
+  Time max_timeout = 0;
+  Time min_repeat_timeout = std::numeric_limits<Time>::max();
   for (const Attempt& attempt : attempts_) {
-    longest = std::max(longest, attempt.call.timeout);
-    if (!attempt.call.last) shortest = std::min(shortest, attempt.call.timeout);
+    max_timeout = std::max(max_timeout, attempt.call.timeout);
+    if (!attempt.call.last) min_repeat_timeout = std::min(min_repeat_timeout, attempt.call.timeout);
   }
-  deadline_ = started_at_ + std::min(longest, shortest);
+  deadline_ = started_at_ + std::min(max_timeout, min_repeat_timeout);
   if (auto idle = owner_->take_idle(endpoint_, address_)) {
     stream_ = std::move(idle->stream);
-    return wait_for_silence(idle->since + kSilence);
+    return wait_until_reusable(idle->since + kReuseDelay);
   }
   connect();
 }
 
 void Upstream::Exchange::orphan() {
-  over_ = true;
+  ended_ = true;
   owner_ = nullptr;
   stream_.close();
   timer_.cancel();
 }
 
-void Upstream::Exchange::wait_for_silence(Time ready) {
+void Upstream::Exchange::wait_until_reusable(Time ready) {
   if (steady_now() >= ready) return reuse();
   timer_.expires_at(at_time(ready));
   timer_.async_wait([self = shared_from_this()](const Error& error) {
-    if (!error && !self->over_) self->reuse();
+    if (!error && !self->ended_) self->reuse();
   });
 }
 
 void Upstream::Exchange::reuse() {
   reused_ = true;
-  if (!is_silent(stream_)) return connect_anew();
+  if (!has_no_input(stream_)) return connect_anew();
   schedule_timer(deadline_);
   write();
 }
@@ -157,7 +160,7 @@
 void Upstream::Exchange::connect() {
   schedule_timer(std::min(deadline_, started_at_ + owner_->limits_.connect_timeout));
   stream_.async_connect(address_, [self = shared_from_this()](const Error& error) {
-    if (self->over_) return;
+    if (self->ended_) return;
     if (error) return self->finish(policy::Outcome::kConnectFailed);
     self->schedule_timer(self->deadline_);
     self->write();
@@ -168,12 +171,12 @@
   give_up_at_ = at;
   at = std::min(at, write_by_);
   for (const Attempt& attempt : attempts_) {
-    if (!attempt.over) at = std::min(at, started_at_ + attempt.call.timeout);
+    if (!attempt.ended) at = std::min(at, started_at_ + attempt.call.timeout);
   }
   timer_at_ = at;
   timer_.expires_at(at_time(at));
   timer_.async_wait([self = shared_from_this()](const Error& error) {
-    if (!error && !self->over_) self->expire();
+    if (!error && !self->ended_) self->expire();
   });
 }
 
@@ -187,17 +190,17 @@
     if (has_unsent_bytes()) return give_up(policy::Outcome::kTimeout);
   }
   const bool timed_out = std::any_of(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
-    return !attempt.over && now >= started_at_ + attempt.call.timeout;
+    return !attempt.ended && now >= started_at_ + attempt.call.timeout;
   });
   if (timed_out && written_) receive();
-  if (over_) return;
-  // What goes on to be written may run, each message of it.
+  if (ended_) return;
+  // The request is still being written, so each of its messages may run.
   if (timed_out && unsent_ && !written_) return give_up(policy::Outcome::kTimeout);
   for (Attempt& attempt : attempts_) {
-    if (!attempt.over && now >= started_at_ + attempt.call.timeout)
+    if (!attempt.ended && now >= started_at_ + attempt.call.timeout)
       end(attempt, outcome_without_response(policy::Outcome::kTimeout));
   }
-  if (std::all_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.over; })) {
+  if (std::all_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.ended; })) {
     return give_up(policy::Outcome::kTimeout);
   }
   schedule_timer(give_up_at_);
@@ -216,7 +219,7 @@
 
 void Upstream::Exchange::give_up(policy::Outcome outcome) {
   if (written_) receive();
-  if (over_) return;
+  if (ended_) return;
   Error ignored;
   if (has_unsent_bytes()) stream_.socket().set_option(boost::asio::socket_base::linger(true, 0), ignored);
   if (response_started_) return finish_malformed();
@@ -224,7 +227,7 @@
 }
 
 bool Upstream::Exchange::may_start(const Attempt& attempt) const {
-  if (attempt.over || steady_now() >= std::min(deadline_, started_at_ + attempt.call.timeout)) return false;
+  if (attempt.ended || steady_now() >= std::min(deadline_, started_at_ + attempt.call.timeout)) return false;
   return is_health_check_ || owner_->may_start_(attempt.call);
 }
 
@@ -233,26 +236,27 @@
   std::vector<Attempt*> starting;
   for (Attempt& attempt : attempts_) {
     if (!may_start(attempt)) continue;
-    attempt.call_started = true;  // also where it is called once more, for a new connection
+    attempt.call_started = true;  // stays set if write() is called again for a new connection
     starting.push_back(&attempt);
   }
   if (starting.empty()) {
     reusable_ = true;
     return finish(policy::Outcome::kNotStarted);
   }
-  // May-start puts the calls on record, and meanwhile the endpoint may have written or closed the connection.
-  if (reused_ && !is_silent(stream_)) return connect_anew();
-  end_all_but(starting);
+  // MayStart journals the attempts; in the meantime the endpoint may have sent something or closed the
+  // connection.
+  if (reused_ && !has_no_input(stream_)) return connect_anew();
+  end_all_except(starting);
   build_request(starting);
   unsent_.emplace(request_);
   for (const Attempt* attempt : starting) write_by_ = std::min(write_by_, attempt->call.start_by);
   if (write_by_ < give_up_at_) schedule_timer(give_up_at_);
-  write_on();
+  continue_write();
 }
 
-void Upstream::Exchange::end_all_but(const std::vector<Attempt*>& starting) {
+void Upstream::Exchange::end_all_except(const std::vector<Attempt*>& starting) {
   for (Attempt& attempt : attempts_) {
-    if (!attempt.over && std::find(starting.begin(), starting.end(), &attempt) == starting.end())
+    if (!attempt.ended && std::find(starting.begin(), starting.end(), &attempt) == starting.end())
       end(attempt, policy::Outcome::kNotStarted);
   }
 }
@@ -278,24 +282,24 @@
   request_.prepare_payload();
 }
 
-void Upstream::Exchange::write_on() {
+void Upstream::Exchange::continue_write() {
   Error error;
   while (!error && !unsent_->is_done()) {
     if (steady_now() >= timer_at_) expire();
-    if (over_) return;
+    if (ended_) return;
     http::write_some(stream_, *unsent_, error);
   }
   if (error == boost::asio::error::would_block) {
     return stream_.socket().async_wait(
-        tcp::socket::wait_write, [self = shared_from_this()](const Error& failed) {
-          if (self->over_) return;
-          failed ? self->finish(policy::Outcome::kConnectFailed) : self->write_on();
+        tcp::socket::wait_write, [self = shared_from_this()](const Error& wait_error) {
+          if (self->ended_) return;
+          wait_error ? self->finish(policy::Outcome::kConnectFailed) : self->continue_write();
         });
   }
   if (error) return finish(policy::Outcome::kConnectFailed);
   written_ = true;
   if (!is_health_check_) {
-    owner_->written_ += static_cast<size_t>(std::count_if(
+    owner_->messages_written_ += static_cast<size_t>(std::count_if(
         attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.sent; }));
   }
   read();
@@ -303,14 +307,14 @@
 
 void Upstream::Exchange::read() {
   stream_.socket().async_wait(tcp::socket::wait_read, [self = shared_from_this()](const Error&) {
-    if (self->over_) return;
+    if (self->ended_) return;
     self->receive();
-    if (!self->over_) self->read();
+    if (!self->ended_) self->read();
   });
 }
 
 void Upstream::Exchange::receive() {
-  while (!over_) {
+  while (!ended_) {
     Error error;
     const size_t count = stream_.read_some(buffer_.prepare(kReadBytes), error);
     if (error == boost::asio::error::would_block) return;
@@ -323,7 +327,7 @@
 void Upstream::Exchange::on_bytes() {
   if (!response_started_) {
     response_started_ = true;
-    schedule_timer(std::min(deadline_, steady_now() + kResponseTime));
+    schedule_timer(std::min(deadline_, steady_now() + kMaxResponseTime));
   }
   if (!parse() || bytes_read_ > kMaxResponseBytes) return finish_malformed();
   if (parser_ && parser_->is_done()) on_response();
@@ -336,35 +340,35 @@
       parser_->eager(true);
       parser_->body_limit(kMaxBodyBytes);
     }
-    if (!first_line_parsed_) {
+    if (!status_line_parsed_) {
       const std::string_view head(static_cast<const char*>(buffer_.data().data()), buffer_.size());
-      says_ok_ = says_ok(head);
-      if (!kVersion.starts_with(head.substr(0, kVersion.size()))) return false;
+      status_line_says_ok_ = is_ok_status_line(head);
+      if (!kVersionPrefix.starts_with(head.substr(0, kVersionPrefix.size()))) return false;
     }
     Error error;
     const size_t taken = parser_->put(buffer_.data(), error);
-    first_line_parsed_ = first_line_parsed_ || taken > 0;
+    status_line_parsed_ = status_line_parsed_ || taken > 0;
     buffer_.consume(taken);
     if (error && error != http::error::need_more) return false;
     if (!parser_->is_done() || parser_->get().result_int() >= 200) return true;
-    parser_.reset();  // 1xx: the answer itself follows
-    first_line_parsed_ = false;
+    parser_.reset();  // 1xx: the final response follows
+    status_line_parsed_ = false;
     if (buffer_.size() == 0) return true;
   }
 }
 
 void Upstream::Exchange::on_closed(const Error& error) {
   if (!response_started_) return finish(policy::Outcome::kReset);
-  Error cut;
+  Error parse_error;
   if (error == boost::asio::error::eof && parser_ && parser_->is_header_done()) {
-    parser_->put_eof(cut);
-    if (!cut && parser_->is_done()) return on_response();
+    parser_->put_eof(parse_error);
+    if (!parse_error && parser_->is_done()) return on_response();
   }
   finish_malformed();
 }
 
 void Upstream::Exchange::finish_malformed() {
-  final_ = says_ok_ && !is_batch_;
+  final_ = status_line_says_ok_ && !is_batch_;
   finish(final_ ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse);
 }
 
@@ -376,40 +380,40 @@
     if (line.ends_with('\r')) line.remove_suffix(1);
     if (line.empty()) continue;
     const size_t space = line.find(' ');
-    const auto attempt = std::find_if(attempts_.begin(), attempts_.end(), [&](const Attempt& p) {
-      return p.sent && !p.outcome && p.call.call_id == line.substr(0, space);
+    const auto attempt = std::find_if(attempts_.begin(), attempts_.end(), [&](const Attempt& candidate) {
+      return candidate.sent && !candidate.outcome && candidate.call.call_id == line.substr(0, space);
     });
     if (space == std::string_view::npos || attempt == attempts_.end()) return false;
-    const std::string_view what = line.substr(space + 1);
-    if (what == "done") {
+    const std::string_view result = line.substr(space + 1);
+    if (result == "done") {
       attempt->outcome = policy::Outcome::kOk;
-    } else if (what == "failed") {
+    } else if (result == "failed") {
       attempt->outcome = policy::Outcome::kError;
-    } else if (what == "busy") {
+    } else if (result == "busy") {
       attempt->outcome = policy::Outcome::kRejected;
-    } else if (what == "void" || what == "used_up") {
+    } else if (result == "void" || result == "used_up") {
       attempt->outcome = policy::Outcome::kNotStarted;
-      attempt->finished = what == "void";
+      attempt->finished = result == "void";
     } else {
       return false;
     }
   }
   return std::all_of(attempts_.begin(), attempts_.end(),
-                     [](const Attempt& p) { return !p.sent || p.outcome; });
+                     [](const Attempt& candidate) { return !candidate.sent || candidate.outcome; });
 }
 
 void Upstream::Exchange::on_response() {
-  const auto& answer = parser_->get();
+  const auto& response = parser_->get();
   reusable_ = parser_->keep_alive() && buffer_.size() == 0;
-  report_ = parse_report(view(answer["X-Load-Report"]), owner_->report_fields_);
-  switch (answer.result_int()) {
+  load_report_ = parse_report(to_string_view(response["X-Load-Report"]), owner_->report_fields_);
+  switch (response.result_int()) {
     case 200:
       if (is_batch_) {
-        if (!parse_batch_response(answer.body())) {
+        if (!parse_batch_response(response.body())) {
           for (Attempt& attempt : attempts_) attempt.outcome.reset();
           return finish_malformed();
         }
-        retry_after_ = parse_retry_after(view(answer[http::field::retry_after]));
+        retry_after_ = parse_retry_after(to_string_view(response[http::field::retry_after]));
         return finish(policy::Outcome::kOk);
       }
       final_ = true;
@@ -418,11 +422,11 @@
       final_ = true;
       return finish(policy::Outcome::kNotStarted);
     case 429:
-      retry_after_ = parse_retry_after(view(answer[http::field::retry_after]));
+      retry_after_ = parse_retry_after(to_string_view(response[http::field::retry_after]));
       return finish(policy::Outcome::kRejected);
     case 503:
-      return finish(view(answer["X-Egress-Full"]) == "1" ? policy::Outcome::kNotStarted
-                                                         : policy::Outcome::kRejected);
+      return finish(to_string_view(response["X-Egress-Full"]) == "1" ? policy::Outcome::kNotStarted
+                                                                     : policy::Outcome::kRejected);
     case 504:
       return finish(policy::Outcome::kNotStarted);
     default:
@@ -431,7 +435,7 @@
 }
 
 void Upstream::Exchange::finish(policy::Outcome outcome) {
-  over_ = true;
+  ended_ = true;
   timer_.cancel();
   const auto self = shared_from_this();
   owner_->exchanges_.erase(name());
@@ -440,23 +444,23 @@
   } else {
     stream_.close();
   }
-  // After silence the host's other idle connections are suspect: a call lost on one may have run, one that
-  // finds no new connection has not.
+  // After a timeout, a reset or a failed connect the endpoint's other idle connections are suspect: a call
+  // that is lost on one of them may have run, whereas a call that cannot open a new connection has not run.
   if (outcome == policy::Outcome::kTimeout || outcome == policy::Outcome::kReset ||
       outcome == policy::Outcome::kConnectFailed) {
     owner_->close_idle(endpoint_);
   }
   if (is_health_check_) {
-    return owner_->probed_(
-        {endpoint_, outcome == policy::Outcome::kOk, steady_now() - started_at_, std::move(report_)});
+    return owner_->on_health_check_ended_(
+        {endpoint_, outcome == policy::Outcome::kOk, steady_now() - started_at_, std::move(load_report_)});
   }
   for (Attempt& attempt : attempts_) {
-    if (!attempt.over) end(attempt, attempt.outcome.value_or(outcome));
+    if (!attempt.ended) end(attempt, attempt.outcome.value_or(outcome));
   }
 }
 
 void Upstream::Exchange::end(Attempt& attempt, policy::Outcome outcome) {
-  attempt.over = true;
+  attempt.ended = true;
   policy::AttemptEnded out;
   out.id = attempt.call.id;
   out.attempt = attempt.call.attempt;
@@ -465,8 +469,8 @@
   out.final = attempt.outcome ? outcome == policy::Outcome::kOk || attempt.finished : final_;
   out.latency = steady_now() - started_at_;
   out.retry_after = retry_after_;
-  out.load_report = report_;
-  owner_->ended_(out, attempt.call_started);
+  out.load_report = load_report_;
+  owner_->on_attempt_ended_(out, attempt.call_started);
 }
 
 }  // namespace turntally::relay
--- a/relay/upstream_exchange.h
+++ b/relay/upstream_exchange.h
@@ -1,4 +1,4 @@
-// One call to an endpoint: a request and its response on one connection, with one message or a batch of them.
+// One call to an endpoint: a request and its response on one connection, with one message or a batch.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -16,21 +16,22 @@
 
 namespace turntally::relay {
 
-// Whether nothing can be read from a connection that should be silent: a closed or chattering peer shows.
-bool is_silent(net::Stream& stream);
+// Returns whether there is nothing to read on a connection on which nothing is expected. False if the peer
+// has closed it or has sent unexpected data.
+bool has_no_input(net::Stream& stream);
 
-// Owns its connection while it runs, and gives it back to Upstream where it may be used again. Each attempt
-// in it ends once, by Upstream's callbacks. Times are microseconds of the steady clock. Invariant: an attempt
+// Owns its connection while it runs, and returns it to Upstream if it can be used again. Each attempt in it
+// ends once, through Upstream's handlers. Times are microseconds of the steady clock. Invariant: an attempt
 // of which a byte may have been written never ends with an outcome that says it did not run, unless the
-// endpoint said so or the request was not whole.
+// endpoint said so or the request was incomplete.
 class Upstream::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(Upstream& owner, std::vector<Call> calls, bool is_health_check);
   std::tuple<bool, uint64_t, int> name() const { return name_; }
   bool has_attempt(uint64_t id, int number) const;
   std::optional<InFlightCall> in_flight() const;
-  // A message must not be sent again while this call is in flight, so the call ends with the first of its
-  // messages that would be. Those that are at their end leave it alone.
+  // Starts the call. A message must not be sent again while this call is in flight, so the call ends with
+  // the first timeout of a message that would be sent again. Timeouts of last attempts do not end it.
   void start();
   void cancel() { give_up(policy::Outcome::kCancelled); }
 
@@ -38,58 +39,62 @@
 
  private:
   static constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
-  static constexpr size_t kMaxResponseBytes = 2 * kMaxBodyBytes;  // heads and 1xx responses included
-  static constexpr size_t kReadBytes = size_t{4} * 1024;          // at once
+  static constexpr size_t kMaxResponseBytes = 2 * kMaxBodyBytes;  // including heads and 1xx responses
+  static constexpr size_t kReadBytes = size_t{4} * 1024;          // per read
   static constexpr Time kNever = std::numeric_limits<Time>::max();
 
   struct Attempt {
     Call call;
-    std::optional<policy::Outcome> outcome;  // its own, where the answer tells the messages apart
-    bool finished = false;                   // and the response says that the message is over
-    bool call_started = false;               // MayStart allowed it
-    bool sent = false;                       // and it is in the request
-    bool over = false;
+    std::optional<policy::Outcome> outcome;  // set if the response distinguishes between messages
+    bool finished = false;                   // the response says that the message is over
+    bool call_started = false;               // MayStart returned true
+    bool sent = false;                       // it is part of the request
+    bool ended = false;
   };
 
-  // A second answer right behind the first would be taken for this call's: it shows before the call is
-  // written.
-  void wait_for_silence(Time ready);
+  // Waits until `ready` before a connection is reused. A second response right after the previous one would
+  // be taken for the response to this call; it has arrived by then.
+  void wait_until_reusable(Time ready);
   void reuse();
   void connect_anew();
   void connect();
   void schedule_timer(Time at);
   void expire();
-  // What was never wholly written cannot have run.
+  // Returns the outcome of an attempt without a complete response. A request that was not completely written
+  // cannot have run.
   policy::Outcome outcome_without_response(policy::Outcome outcome) const;
-  // The host has no room for what was written, and the system sends it whenever it has, also after a close
-  // that is no reset.
+  // Returns whether written bytes have not been sent because the endpoint has no room for them. The system
+  // sends them once it has, also after a close that is no reset.
   bool has_unsent_bytes();
-  // What is there by now counts: the close would lose it.
+  // Ends the call. Data that has arrived is read first, as the close would lose it.
   void give_up(policy::Outcome outcome);
-  // The connection took its time: what happened meanwhile counts.
+  // Returns whether the attempt may still start. This may have changed while the connection was being
+  // established.
   bool may_start(const Attempt& attempt) const;
   void write();
-  void end_all_but(const std::vector<Attempt*>& starting);
+  void end_all_except(const std::vector<Attempt*>& starting);
   void build_request(const std::vector<Attempt*>& starting);
-  // Here and now, so that no other event finds the last byte written and this side not aware of it: the host
-  // gets the call, and it would pass for one that never ran. The clock is read ahead of each piece, behind
-  // all that takes time (the record on disk, the log): the process may have stood still, and the timer is
-  // late.
-  void write_on();
+  // Writes the request without returning to the event loop: another event that finds the last byte written
+  // but not yet recorded here would take a call that the endpoint has received for one that never ran. The
+  // clock is read before each piece, after everything that takes time (the journal record, the log), as the
+  // process may have been suspended and the timer may be late.
+  void continue_write();
   void read();
-  // All that is there by now.
+  // Reads everything that has arrived.
   void receive();
-  // From its first byte on an answer has little time to become whole: an endpoint that sends it malformed may
-  // leave the connection open, or go on for ever.
+  // Limits the time from the first byte of a response to its last: an endpoint that sends a malformed one
+  // may leave the connection open, or send for ever.
   void on_bytes();
-  // False: it is no answer. The buffer holds a first line until the parser takes it.
+  // Returns false if the bytes are not a response. The buffer holds the status line until the parser takes
+  // it.
   bool parse();
-  // The host ended the connection, which may be how it marks an answer's end.
+  // Handles a close by the endpoint, which may mark the end of a response.
   void on_closed(const boost::system::error_code& error);
-  // The answer will never be whole. The call may have run whatever status it shows, and has if its first line
-  // says so; that is not enough for a batch, whose messages may fare differently.
+  // Ends the call when its response cannot be completed. The call may have run whatever status the response
+  // shows, and has run if its status line says 200. That is not enough for a batch, whose messages may have
+  // different outcomes.
   void finish_malformed();
-  // A line for each message; all of them or none are believed.
+  // Parses one line per message. Returns false if a line is invalid or missing; then none of them counts.
   bool parse_batch_response(std::string_view body);
   void on_response();
   void finish(policy::Outcome outcome);
@@ -110,20 +115,20 @@
   Time started_at_ = 0;
   Time deadline_ = 0;
   Time give_up_at_ = 0;     // when the whole call is given up
-  Time timer_at_ = 0;       // and what the timer is set for: the first thing that ends by its time
-  Time write_by_ = kNever;  // a repeat's last byte goes by then, or not at all
+  Time timer_at_ = 0;       // when timer_ expires: the earliest of all deadlines
+  Time write_by_ = kNever;  // the last byte of a repeated attempt is written by then, or not at all
   bool reused_ = false;     // the connection was idle before
   bool is_batch_ = false;
   bool written_ = false;
-  bool over_ = false;
-  bool reusable_ = false;           // the connection may be used again
-  bool response_started_ = false;   // the answer has begun
-  bool first_line_parsed_ = false;  // the parser has taken its first line
-  bool says_ok_ = false;            // and its first line says 200
+  bool ended_ = false;
+  bool reusable_ = false;             // the connection may be used again
+  bool response_started_ = false;     // the first byte of the response has arrived
+  bool status_line_parsed_ = false;   // the parser has taken the status line
+  bool status_line_says_ok_ = false;  // the status line says 200
   size_t bytes_read_ = 0;
   bool final_ = false;
   Time retry_after_ = 0;
-  std::vector<float> report_;
+  std::vector<float> load_report_;
 };
 
 }  // namespace turntally::relay
