--- a/controller/call.h
+++ b/controller/call.h
@@ -32,7 +32,7 @@
   boost::asio::steady_timer timer_;
   net::Backoff backoff_;
   std::vector<bool> raised_;  // per address
-  size_t waits_for_ = 0;      // to the fence or to the calls of a round
+  size_t waits_for_ = 0;      // replies not yet received, to fences or to the calls of a round
   bool acts_ = false;         // calls may be sent
   uint64_t number_ = 0;       // of the last completed round
   int64_t at_ms_ = 0;         // when the last round began, by the wall clock; 0: never
--- a/controller/mirror.h
+++ b/controller/mirror.h
@@ -44,8 +44,10 @@
   void ended() override;
   void add_status(nlohmann::json& report) const override;
 
-  void drop();  // and closes the watch
-  void anew();  // by fetching the whole list
+  // Closes the watch and discards the known list.
+  void drop();
+  // Discards the known list and fetches the whole one.
+  void anew();
   void fetch();
   void connect();
   void later(void (MirrorTask::*step)());
@@ -58,7 +60,7 @@
   MirrorLines lines_;
   std::shared_ptr<net::Lines> stream_;
   bool alive_watch_ = false;  // a line arrived on the current watch
-  bool out_now_ = false;      // only one at a time, to keep their order
+  bool out_now_ = false;      // a write; only one at a time, to keep their order
   uint64_t serial_ = 0;       // of the last write: one that timed out may still arrive later
   boost::asio::steady_timer pause_;
   boost::asio::steady_timer retry_;
--- a/controller/task.h
+++ b/controller/task.h
@@ -30,7 +30,7 @@
   nlohmann::json status() const;
   struct Metrics {
     uint64_t grants = 0;
-    uint64_t acts = 0;      // that succeeded
+    uint64_t acts = 0;      // actions that succeeded
     uint64_t failures = 0;  // all errors, of actions and reads
     uint64_t fenced = 0;    // calls refused because of their token
     net::Time acted = 0;    // when the last action succeeded, by the steady clock; 0: none
@@ -62,17 +62,20 @@
   using ReplyCallback = std::function<void(const std::optional<net::HttpReply>&)>;
   void act(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done);
   void act_at_registry(net::HttpCall call, ReplyCallback done);
-  void ask(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done);  // carries no lease fields
+  // Sends a read. It carries no lease fields and does not delay the release of the lease.
+  void ask(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done);
   void ask_registry(net::HttpCall call, ReplyCallback done);
-  void save_checkpoint(const nlohmann::json& checkpoint,
-                       std::function<void()> done);  // `done`: saved, or not answered
+  // Saves what has been done for a successor, only while the lease is held. Calls `done` once it is saved or
+  // the registry has not answered; not after a fence, which abandons the lease.
+  void save_checkpoint(const nlohmann::json& checkpoint, std::function<void()> done);
 
   // Returns whether the reply is a success. Otherwise records the failure, and abandons the lease after a
   // fence.
   bool went_well(const std::string& callee, const std::optional<net::HttpReply>& reply);
   void failed(const net::Error& error);
   void acted();
-  void give_up();  // and campaigns again
+  // Releases the lease once no work is in progress, and campaigns again.
+  void give_up();
   bool gave_up() const { return gave_up_; }
 
   boost::asio::io_context& io_;
@@ -94,7 +97,7 @@
   uint64_t grant_ = 0;      // of the current grant; 0: none
   uint64_t grants_ = 0;
   size_t outs_ = 0;          // of the current or the last grant
-  bool winds_down_ = false;  // no action begins any more
+  bool winds_down_ = false;  // the lease is to be released: no action begins any more
   bool gave_up_ = false;
   bool closes_ = false;
   std::function<void()> closed_;
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -29,7 +29,7 @@
   struct Listener {
     // Receives a list to apply, in discovery's format.
     std::function<void(const nlohmann::json& line)> on_list;
-    // All changes so far have been passed on.
+    // Called when all changes so far have been passed on.
     std::function<void()> current;
     // Receives the state to save after a change; may be empty.
     std::function<void(const nlohmann::json& saved)> keep;
@@ -40,10 +40,13 @@
                Listener listener);
   ~ListFollower();
 
-  void close();  // cannot be undone
+  // Ends the watch for good.
+  void close();
   const ListGuard& guard() const { return guard_; }
-  uint64_t moves() const { return moves_; }  // changes to another member
-  Millis heard_ms() const;  // since a member that is not stale last confirmed the list; -1: never
+  // Returns how often the follower has changed to another member.
+  uint64_t moves() const { return moves_; }
+  // Returns the milliseconds since a member that is not stale last confirmed the list; -1: never.
+  Millis heard_ms() const;
   const net::tcp::endpoint& at() const { return settings_.members[member_index_]; }
 
  private:
