--- a/cli/command.h
+++ b/cli/command.h
@@ -1,4 +1,4 @@
-// cli: turntally, the program for operators: a subcommand for each job. What they share.
+// Declarations shared by the subcommands of turntally, the operators' program.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,27 +10,30 @@
 
 namespace turntally::cli {
 
-// How a command ends, for a shell.
-constexpr int kHeld = 0;
-constexpr int kBroken = 1;   // something that was checked did not hold, or a run failed
-constexpr int kMisuse = 2;   // the command or its input is wrong
-constexpr int kRefused = 3;  // asked rightly, and refused as things stand
-constexpr int kUnknown = 4;  // it may have been done
+// Exit statuses of the program.
+constexpr int kExitOk = 0;
+constexpr int kExitFailed = 1;   // a check or a run failed
+constexpr int kExitMisuse = 2;   // the command line or its input is invalid
+constexpr int kExitRefused = 3;  // a valid request was refused in the present state
+constexpr int kExitUnknown = 4;  // the outcome is unknown: the request may have been carried out
 
-// What every command needs that talks to a registry.
+// Options of every command that calls a registry.
 struct RegistryOptions {
-  std::string at;
+  std::string at;  // comma-separated HTTP addresses of members
   bool json = false;
 
   void add_to(CLI::App& command);
-  std::vector<std::string> addresses() const;  // throws net::BadInput
+  // Returns the addresses in `at`. Throws net::BadInput if one is invalid or there is none.
+  std::vector<std::string> addresses() const;
   registry::Client client() const;
-  bool table() const;  // as print() writes: a table, or JSON
-  // The rows, the first one being their head, on a terminal; else the JSON.
+  // Returns whether print() writes a table: standard output is a terminal and --json is not given.
+  bool prints_table() const;
+  // Prints `rows`, whose first row is the heading, as a table on a terminal; prints `value` as JSON
+  // otherwise.
   void print(const nlohmann::json& value, const std::vector<std::vector<std::string>>& rows) const;
 };
 
-// Each adds its subcommands; what is chosen leaves its exit status in `status`.
+// Each function adds its subcommands to `app`. The subcommand that runs stores its exit status in `status`.
 void add_controller(CLI::App& app, int& status);
 void add_lab(CLI::App& app, int& status);
 void add_registry(CLI::App& app, int& status);
--- a/cli/controller.cpp
+++ b/cli/controller.cpp
@@ -1,4 +1,4 @@
-// turntally controller: run.
+// The subcommand turntally controller run: runs a controller process until SIGTERM or SIGINT.
 #include "controller/controller.h"
 
 #include <boost/asio/signal_set.hpp>
@@ -14,36 +14,38 @@
 namespace {
 
 struct Options {
-  std::string file;
-  std::string level = "info";
-  bool check = false;
+  std::string config_file;
+  std::string log_level = "info";
+  bool check_only = false;
 };
 
-// Longer than any act may take: a path that fell silent must not keep the process.
-constexpr auto kLongestEnd = std::chrono::seconds(10);
+// Longest time that a shutdown waits for running acts. It is longer than any act may take; it ends the
+// process even if a peer never answers.
+constexpr auto kShutdownTimeout = std::chrono::seconds(10);
 
 int run(const Options& options) {
-  net::log::set_level(options.level);
-  const controller::Config config = controller::read_config(options.file);
-  if (options.check) {
-    std::printf("%s: %zu tasks\n", options.file.c_str(), config.tasks.size());
-    return kHeld;
+  net::log::set_level(options.log_level);
+  const controller::Config config = controller::read_config(options.config_file);
+  if (options.check_only) {
+    std::printf("%s: %zu tasks\n", options.config_file.c_str(), config.tasks.size());
+    return kExitOk;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a full disk is an error, not a signal
+  std::signal(SIGXFSZ, SIG_IGN);  // a write beyond a file size limit fails instead of ending the process
   boost::asio::io_context io;
-  int status = kHeld;
-  controller::Controller one(io, config);
-  boost::asio::steady_timer latest(io);
+  int status = kExitOk;
+  controller::Controller controller(io, config);
+  boost::asio::steady_timer shutdown_timer(io);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    one.close([&io] { io.stop(); });
-    latest.expires_after(kLongestEnd);
-    latest.async_wait([&](const boost::system::error_code& stopped) {
-      if (stopped) return;
-      std::fprintf(stderr, "turntally controller: ends with acts out; their leases lapse by themselves\n");
-      status = kBroken;
+    controller.close([&io] { io.stop(); });
+    shutdown_timer.expires_after(kShutdownTimeout);
+    shutdown_timer.async_wait([&](const boost::system::error_code& cancelled) {
+      if (cancelled) return;
+      std::fprintf(stderr,
+                   "turntally controller: stopped while acts were still running; their leases will expire\n");
+      status = kExitFailed;
       io.stop();
     });
   });
@@ -55,17 +57,20 @@
 
 }  // namespace
 
-void add_controller(CLI::App& app, int& result) {
-  CLI::App* group = app.add_subcommand("controller", "Run the fleet's tasks, each under a lease.");
-  group->require_subcommand(1);
-  group->footer("Example: turntally controller run deploy/controller.toml");
+void add_controller(CLI::App& app, int& status) {
+  CLI::App* controller_command =
+      app.add_subcommand("controller", "Run fleet-wide tasks, each under a lease.");
+  controller_command->require_subcommand(1);
+  controller_command->footer("Example: turntally controller run deploy/controller.toml");
   static Options options;
-  CLI::App* run_command = group->add_subcommand("run", "Run one of the controllers, until SIGTERM.");
-  run_command->add_option("CONFIG", options.file, "its configuration, in TOML")->required();
-  run_command->add_flag("--check", options.check, "read the configuration only");
-  run_command->add_option("--log-level", options.level, "debug, info (default), warn or error");
+  CLI::App* run_command =
+      controller_command->add_subcommand("run", "Run a controller until SIGTERM or SIGINT.");
+  run_command->add_option("CONFIG", options.config_file, "configuration file in TOML")->required();
+  run_command->add_flag("--check", options.check_only, "check the configuration file and exit");
+  run_command->add_option("--log-level", options.log_level,
+                          "log level: debug, info (default), warn or error");
   run_command->footer("Example: turntally controller run deploy/controller.toml --check");
-  run_command->callback([&result] { result = run(options); });
+  run_command->callback([&status] { status = run(options); });
 }
 
 }  // namespace turntally::cli
--- a/cli/errors.h
+++ b/cli/errors.h
@@ -1,71 +1,76 @@
-// What turntally itself refuses, or cannot do: docs/errors.md.
+// Errors raised by the turntally program itself; docs/errors.md lists every error code.
 #pragma once
 
 #include "net/error.h"
 
 namespace turntally::cli {
 
-class WrongUse : public net::Error {
+class InvalidUsage : public net::Error {
  public:
-  explicit WrongUse(const std::string& what)
-      : Error("wrong_use", net::Family::kMisuse, what, "see --help, also behind a command") {}
+  explicit InvalidUsage(const std::string& message)
+      : Error("wrong_use", net::Family::kMisuse, message,
+              "see turntally --help, or --help after a subcommand") {}
 };
 
 class FileUnreadable : public net::Error {
  public:
-  FileUnreadable(const std::string& path, const std::string& why)
-      : Error("file_unreadable", net::Family::kMisuse, path + ": " + why,
-              "name a file that is there and can be read") {}
+  FileUnreadable(const std::string& path, const std::string& reason)
+      : Error("file_unreadable", net::Family::kMisuse, path + ": " + reason,
+              "name an existing, readable file") {}
 };
 
 class NotConfirmed : public net::Error {
  public:
   NotConfirmed()
-      : Error("not_confirmed", net::Family::kMisuse, "nothing was written: there is no terminal to ask at",
-              "look at what would be written, then say --yes") {}
+      : Error("not_confirmed", net::Family::kMisuse,
+              "nothing was written: standard input is not a terminal, so the change cannot be confirmed",
+              "review the listed changes, then repeat the command with --yes") {}
 };
 
-class NotListed : public net::Error {
+class EndpointNotListed : public net::Error {
  public:
-  explicit NotListed(const std::string& id)
-      : Error("endpoint_not_listed", net::Family::kMisuse, "'" + id + "' is not listed",
-              "see turntally targets list for the ids") {}
+  explicit EndpointNotListed(const std::string& id)
+      : Error("endpoint_not_listed", net::Family::kMisuse,
+              "endpoint '" + id + "' is not in the registry's list",
+              "run turntally targets list to see the endpoint ids") {}
 };
 
-class NoProgram : public net::Error {
+class NotExecutable : public net::Error {
  public:
-  NoProgram(const std::string& option, const std::string& path)
-      : Error("no_program", net::Family::kMisuse, option + " " + path + ": is no program that can be run",
-              "build it, or name another") {}
+  NotExecutable(const std::string& option, const std::string& path)
+      : Error("no_program", net::Family::kMisuse, option + " " + path + ": is not an executable file",
+              "build the program, or name another executable file") {}
 };
 
 class FolderUnusable : public net::Error {
  public:
-  FolderUnusable(const std::string& path, const std::string& why)
-      : Error("folder_unusable", net::Family::kMisuse, path + ": " + why,
-              "name a folder with --out that is empty, or that can be made") {}
+  FolderUnusable(const std::string& path, const std::string& reason)
+      : Error("folder_unusable", net::Family::kMisuse, path + ": " + reason,
+              "name an empty folder, or one that can be created, with --out") {}
 };
 
 class MemberNotStarted : public net::Error {
  public:
-  MemberNotStarted(uint64_t member, const std::string& why)
+  MemberNotStarted(uint64_t member, const std::string& reason)
       : Error("member_not_started", net::Family::kBroken,
-              "member " + std::to_string(member) + " cannot start: " + why,
-              "see that its folder can be written and is whole; with a lost one it joins again") {}
+              "member " + std::to_string(member) + " cannot start: " + reason,
+              "check that the member's folder is writable and complete; if its data is lost, let the member "
+              "join again") {}
 };
 
 class MemberEnded : public net::Error {
  public:
-  MemberEnded(uint64_t member, const std::string& why)
-      : Error("member_ended", net::Family::kBroken, "member " + std::to_string(member) + " ends: " + why,
-              "keep its folder and log, and see docs/registry.md, what goes wrong") {}
+  MemberEnded(uint64_t member, const std::string& reason)
+      : Error("member_ended", net::Family::kBroken,
+              "member " + std::to_string(member) + " stopped: " + reason,
+              "keep the member's folder and log, and see 'What goes wrong' in docs/registry.md") {}
 };
 
 class Unexpected : public net::Error {
  public:
-  explicit Unexpected(const std::string& what)
-      : Error("unexpected", net::Family::kBroken, what,
-              "a fault of turntally: keep its words and what was asked") {}
+  explicit Unexpected(const std::string& message)
+      : Error("unexpected", net::Family::kBroken, message,
+              "this is a bug in turntally: report the message and the command line") {}
 };
 
 }  // namespace turntally::cli
--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -1,4 +1,5 @@
-// turntally lab: check, run, compare.
+// The subcommands of turntally lab: run plays a scenario with real processes, check prints its plan, and
+// compare plays two relay programs or scenarios over the same seeds.
 #include <unistd.h>
 
 #include <array>
@@ -24,34 +25,38 @@
 struct RunOptions {
   std::string file;
   uint64_t seed = 1;
-  std::string out;
-  std::string relay;
-  std::string level = "info";
+  std::string folder;  // empty: a new one under logs/lab
+  std::string relay;   // program; empty: the one beside turntally
+  std::string log_level = "info";
   bool json = false;
   bool plots = true;
 };
 
 struct CompareOptions {
   std::string file;
-  std::string b_file;
-  std::string a;
+  std::string b_file;  // scenario of side b; empty: the same as that of side a
+  std::string a;       // relay programs; empty: the one beside turntally
   std::string b;
   std::string seeds = "1..5";
-  std::string out;
+  std::string folder;
   bool json = false;
 };
 
-std::string beside_this() { return fs::read_symlink("/proc/self/exe").parent_path() / "turntally-relay"; }
+std::string default_relay_path() {
+  return fs::read_symlink("/proc/self/exe").parent_path() / "turntally-relay";
+}
 
-std::string program(const std::string& option, const std::string& given) {
-  const std::string path = given.empty() ? beside_this() : given;
+// Returns the absolute path of the program given for `option`, or of the default relay. Throws NotExecutable.
+std::string executable_path(const std::string& option, const std::string& given) {
+  const std::string path = given.empty() ? default_relay_path() : given;
   if (::access(path.c_str(), X_OK) != 0 || fs::is_directory(path)) {
-    throw NoProgram(option, path);
+    throw NotExecutable(option, path);
   }
   return fs::absolute(path);
 }
 
-// A folder of its own for each run.
+// Creates the folder of a run and returns its absolute path: `given`, or a new one under logs/lab named after
+// the scenario and the seed. Throws FolderUnusable.
 std::string new_folder(const std::string& given, const std::string& name, uint64_t seed) {
   if (!given.empty()) {
     std::error_code error;
@@ -62,31 +67,34 @@
   }
   const std::string base = "logs/lab/" + name + "-" + std::to_string(seed);
   std::string path = base;
-  for (int i = 2; fs::exists(path); ++i) path = base + "." + std::to_string(i);
+  for (int suffix = 2; fs::exists(path); ++suffix) path = base + "." + std::to_string(suffix);
   std::error_code error;
   fs::create_directories(path, error);
   if (error) throw FolderUnusable(path, error.message());
   return fs::absolute(path);
 }
 
+// Returns the seeds of a range FROM..TO of at most 10,000. Throws net::BadInput.
 std::vector<uint64_t> seed_list(const std::string& text) {
   unsigned long long from = 0;
   unsigned long long to = 0;
-  int used = 0;
-  const int read = std::sscanf(text.c_str(), "%llu..%llu%n", &from, &to, &used);
-  if (read != 2 || used != static_cast<int>(text.size()) || from > to || to - from > 9999) {
-    throw net::BadInput("--seeds " + text + ": write FROM..TO, such as 1..5");
+  int length = 0;
+  const int converted = std::sscanf(text.c_str(), "%llu..%llu%n", &from, &to, &length);
+  if (converted != 2 || length != static_cast<int>(text.size()) || from > to || to - from > 9999) {
+    throw net::BadInput("--seeds " + text + ": must be FROM..TO with at most 10000 seeds, such as 1..5");
   }
-  std::vector<uint64_t> out;
-  for (unsigned long long seed = from; seed <= to; ++seed) out.push_back(seed);
-  return out;
+  std::vector<uint64_t> seeds;
+  for (unsigned long long seed = from; seed <= to; ++seed) seeds.push_back(seed);
+  return seeds;
 }
 
+// Prints a progress line to standard error: on a terminal it replaces the line before; elsewhere every fifth
+// line and the last one are printed.
 void print_progress(const std::string& line, bool last) {
-  static int seconds = 0;
+  static int line_count = 0;
   if (::isatty(2) != 0) {
     std::fprintf(stderr, "\r%s\x1b[K%s", line.c_str(), last ? "\n" : "");
-  } else if (last || ++seconds % 5 == 0) {
+  } else if (last || ++line_count % 5 == 0) {
     std::fprintf(stderr, "%s\n", line.c_str());
   }
 }
@@ -97,67 +105,72 @@
   std::string summary;
 };
 
+// Plays the scenario once, checks the invariants and writes the run's folder.
 Outcome run_once(const RunOptions& options, const Scenario& scenario, const std::string& folder,
                  const std::string& relay) {
   const Plan plan = draw_plan(scenario, options.seed);
-  ScenarioResult played = run_scenario(
-      scenario, plan, {relay, folder, options.level, print_progress, fs::read_symlink("/proc/self/exe")});
-  Outcome out;
-  out.verdicts = check(played.history, rules_of(scenario, plan));
-  out.figures = figures_of(scenario, played);
-  out.summary = summary(played.history, out.verdicts);
-  write_folder({folder, options.file, relay, options.plots}, scenario, plan, played, out.figures,
-               out.verdicts);
-  return out;
+  ScenarioResult result = run_scenario(
+      scenario, plan, {relay, folder, options.log_level, print_progress, fs::read_symlink("/proc/self/exe")});
+  Outcome outcome;
+  outcome.verdicts = check(result.history, rules_of(scenario, plan));
+  outcome.figures = figures_of(scenario, result);
+  outcome.summary = summary(result.history, outcome.verdicts);
+  write_folder({folder, options.file, relay, options.plots}, scenario, plan, result, outcome.figures,
+               outcome.verdicts);
+  return outcome;
 }
 
-// What plays of the registry and of leases share: `play` fills a folder and says what was reached, as figures
-// and as text.
-struct Reached {
+// The result of a registry or a lease scenario, as figures and as text.
+struct ProcessResult {
   nlohmann::ordered_json figures;
   std::string text;
   std::vector<Verdict> verdicts;
 };
 
-int run_processes(const RunOptions& options, const std::string& name,
-                  const std::function<Reached(const std::string& program, const std::string& folder)>& play) {
-  const std::string folder = new_folder(options.out, name, options.seed);
+// Runs a registry or a lease scenario: `play` plays it in a new folder, which also gets the scenario, the
+// seed and the figures. Returns the exit status.
+int run_processes(
+    const RunOptions& options, const std::string& name,
+    const std::function<ProcessResult(const std::string& program, const std::string& folder)>& play) {
+  const std::string folder = new_folder(options.folder, name, options.seed);
   fs::copy_file(options.file, folder + "/scenario.toml");
   std::ofstream(folder + "/seed") << options.seed << "\n";
-  Reached out = play(fs::read_symlink("/proc/self/exe"), folder);
-  out.figures["invariants"] = nlohmann::ordered_json::object();
-  for (const Verdict& v : out.verdicts) {
-    out.figures["invariants"][v.name] = {{"cases", v.checked}, {"broken", v.broken.size()}};
+  ProcessResult result = play(fs::read_symlink("/proc/self/exe"), folder);
+  result.figures["invariants"] = nlohmann::ordered_json::object();
+  for (const Verdict& v : result.verdicts) {
+    result.figures["invariants"][v.name] = {{"cases", v.checked}, {"broken", v.broken.size()}};
   }
-  std::ofstream(folder + "/figures.json") << out.figures.dump(2) << "\n";
+  std::ofstream(folder + "/figures.json") << result.figures.dump(2) << "\n";
   if (options.json) {
-    std::printf("%s\n", out.figures.dump(2).c_str());
+    std::printf("%s\n", result.figures.dump(2).c_str());
   } else {
     std::printf("%s, seed %llu: %s\nfolder: %s\n", name.c_str(),
-                static_cast<unsigned long long>(options.seed), out.text.c_str(), folder.c_str());
+                static_cast<unsigned long long>(options.seed), result.text.c_str(), folder.c_str());
   }
-  std::printf("%s\n", summary({}, out.verdicts).c_str());
-  return held(out.verdicts) ? kHeld : kBroken;
+  std::printf("%s\n", summary({}, result.verdicts).c_str());
+  return held(result.verdicts) ? kExitOk : kExitFailed;
 }
 
 int run_registry(const RunOptions& options) {
   const RegistryScenario scenario = read_registry_scenario(options.file);
   return run_processes(options, scenario.name, [&](const std::string& turntally, const std::string& folder) {
     const RegistryScenarioResult out =
-        run_registry_scenario(scenario, {turntally, folder, options.seed, options.level, print_progress});
+        run_registry_scenario(scenario, {turntally, folder, options.seed, options.log_level, print_progress});
     char text[400];
-    int used = std::snprintf(text, sizeof(text),
-                             "%zu faults; %zu writes (%zu refused, %zu unknown), p50 %.1f ms, p99 %.1f ms, "
-                             "longest time without one %.2f s; %zu reads, %zu lines told",
-                             out.faults, out.writes, out.refused, out.unknown, out.write_p50_ms,
-                             out.write_p99_ms, out.no_writes_s, out.reads, out.lines);
+    int length =
+        std::snprintf(text, sizeof(text),
+                      "%zu faults; %zu writes (%zu refused, %zu unknown), p50 %.1f ms, p99 %.1f ms, "
+                      "longest time without a write %.2f s; %zu reads, %zu lines received by followers",
+                      out.faults, out.writes, out.refused, out.unknown, out.write_p50_ms, out.write_p99_ms,
+                      out.no_writes_s, out.reads, out.lines);
     if (scenario.crowd > 0) {
-      std::snprintf(text + used, sizeof(text) - static_cast<size_t>(used),
-                    "\nfrom a write to the last of %d watches: p50 %.1f ms, p99 %.1f ms; member's memory "
-                    "%.0f MB at most",
+      std::snprintf(text + length, sizeof(text) - static_cast<size_t>(length),
+                    "\ndelay from a write until the last of %d watches received it: p50 %.1f ms, p99 %.1f "
+                    "ms; largest memory of a member "
+                    "%.0f MB",
                     scenario.crowd, out.crowd_p50_ms, out.crowd_p99_ms, out.memory_mb);
     }
-    return Reached{out.figures(), text, out.verdicts};
+    return ProcessResult{out.figures(), text, out.verdicts};
   });
 }
 
@@ -165,19 +178,20 @@
   const LeaseScenario scenario = read_lease_scenario(options.file);
   return run_processes(options, scenario.name, [&](const std::string& turntally, const std::string& folder) {
     const LeaseScenarioResult out =
-        run_lease_scenario(scenario, {turntally, folder, options.seed, options.level, print_progress});
+        run_lease_scenario(scenario, {turntally, folder, options.seed, options.log_level, print_progress});
     const nlohmann::ordered_json figures = out.to_json();
     const auto number = [&](const char* key) { return figures[key].get<double>(); };
     char text[500];
-    std::snprintf(text, sizeof(text),
-                  "%zu faults; %zu acts (%zu refused, %zu late, %zu repeated), %zu grants, %.1f renewals a "
-                  "second\n%zu failovers: p50 %.2f s, p99 %.2f s; %zu hand-overs: p50 %.3f s, most %.3f s; "
-                  "lab: p99 %.2f ms late",
-                  out.faults, out.figures.acts, out.figures.refused, out.figures.late, out.figures.repeated,
-                  out.figures.grants, out.renewals, out.figures.failovers_s.size(), number("failover_p50_s"),
-                  number("failover_p99_s"), out.figures.hand_overs_s.size(), number("hand_over_p50_s"),
-                  number("hand_over_most_s"), out.lab_p99_ms);
-    return Reached{figures, text, out.verdicts};
+    std::snprintf(
+        text, sizeof(text),
+        "%zu faults; %zu acts (%zu refused, %zu late, %zu repeated), %zu grants, %.1f renewals a "
+        "second\n%zu failovers: p50 %.2f s, p99 %.2f s; %zu hand-overs: p50 %.3f s, longest %.3f s; "
+        "the lab's own delay: p99 %.2f ms",
+        out.faults, out.figures.acts, out.figures.refused, out.figures.late, out.figures.repeated,
+        out.figures.grants, out.renewals, out.figures.failovers_s.size(), number("failover_p50_s"),
+        number("failover_p99_s"), out.figures.hand_overs_s.size(), number("hand_over_p50_s"),
+        number("hand_over_most_s"), out.lab_p99_ms);
+    return ProcessResult{figures, text, out.verdicts};
   });
 }
 
@@ -185,8 +199,8 @@
   if (is_registry_scenario(options.file)) return run_registry(options);
   if (is_lease_scenario(options.file)) return run_leases(options);
   const Scenario scenario = read_scenario(options.file);
-  const std::string relay = program("--relay", options.relay);
-  const std::string folder = new_folder(options.out, scenario.name, options.seed);
+  const std::string relay = executable_path("--relay", options.relay);
+  const std::string folder = new_folder(options.folder, scenario.name, options.seed);
   const Outcome out = run_once(options, scenario, folder, relay);
   if (options.json) {
     std::printf("%s\n", to_json(out.figures).dump(2).c_str());
@@ -197,26 +211,27 @@
         "attempts\n",
         scenario.name.c_str(), static_cast<unsigned long long>(options.seed), f.worth, f.in_time, f.late,
         f.lost, f.latency.p50, f.latency.p99, f.attempts);
-    std::printf("lab: p99 %.2f ms late%s; report: %s/report.md\n", 1000 * f.late_lab.p99_s,
-                f.measured ? "" : ", NOT MEASURED: the machine is too busy for these figures",
+    std::printf("the lab's own delay: p99 %.2f ms%s; report: %s/report.md\n", 1000 * f.late_lab.p99_s,
+                f.measured ? "" : ", NOT MEASURED: the machine was too busy for valid figures",
                 folder.c_str());
   }
   std::printf("%s\n", out.summary.c_str());
-  return held(out.verdicts) ? kHeld : kBroken;
+  return held(out.verdicts) ? kExitOk : kExitFailed;
 }
 
-int look(const RunOptions& options) {
+// Prints what the scenario would do, without playing it.
+int check_scenario(const RunOptions& options) {
   const Scenario scenario = read_scenario(options.file);
   const Plan plan = draw_plan(scenario, options.seed);
   if (options.json) {
     std::printf("%s", plan.text().c_str());
-    return kHeld;
+    return kExitOk;
   }
   size_t endpoints = 0;
   for (const ReceiverPlan& r : plan.receivers) endpoints += r.endpoints.size();
   std::printf("%s: %zu relays in %zu zones, %zu receivers with %zu endpoints\n", scenario.name.c_str(),
               plan.relays.size(), scenario.zones.size(), plan.receivers.size(), endpoints);
-  std::printf("seed %llu: %zu messages in %.1f s (%.1f a second), ends after %.1f s or a little later\n",
+  std::printf("seed %llu: %zu messages in %.1f s (%.1f a second), ends after %.1f s or slightly later\n",
               static_cast<unsigned long long>(options.seed), plan.arrivals.size(), scenario.seconds,
               static_cast<double>(plan.arrivals.size()) / scenario.seconds, plan.end_s);
   for (const FaultPlan& f : plan.faults) {
@@ -227,45 +242,47 @@
                 fault_names()[static_cast<size_t>(f.fault.kind)].c_str(), f.fault.for_s, f.who.size(),
                 target);
   }
-  return kHeld;
+  return kExitOk;
 }
 
-// One side of a comparison, a and b.
+// One side of a comparison.
 struct Side {
-  std::string name;
+  std::string name;  // "a" or "b"
   std::string file;
   Scenario scenario;
-  std::string build;
+  std::string relay;  // program
 };
 
+// Returns both sides. Throws net::BadInput if they are equal or if their scenarios draw different plans.
 std::array<Side, 2> sides_of(const CompareOptions& options) {
   const std::string b_file = options.b_file.empty() ? options.file : options.b_file;
-  std::array<Side, 2> out = {Side{"a", options.file, read_scenario(options.file), {}},
-                             Side{"b", b_file, read_scenario(b_file), {}}};
-  out[0].build = program("--a", options.a);
-  out[1].build = program("--b", options.b);
-  if (out[0].file == out[1].file && out[0].build == out[1].build) {
-    throw net::BadInput("--a, --b, --b-file: name two builds, or a scenario for the other side");
+  std::array<Side, 2> sides = {Side{"a", options.file, read_scenario(options.file), {}},
+                               Side{"b", b_file, read_scenario(b_file), {}}};
+  sides[0].relay = executable_path("--a", options.a);
+  sides[1].relay = executable_path("--b", options.b);
+  if (sides[0].file == sides[1].file && sides[0].relay == sides[1].relay) {
+    throw net::BadInput(
+        "--a, --b, --b-file: both sides are the same; name two relay programs or a second scenario");
   }
-  if (draw_plan(out[0].scenario, 1).text() != draw_plan(out[1].scenario, 1).text()) {
-    throw net::BadInput("--b-file " + out[1].file +
-                        ": draws another plan, so that the sides cannot be compared");
+  if (draw_plan(sides[0].scenario, 1).text() != draw_plan(sides[1].scenario, 1).text()) {
+    throw net::BadInput("--b-file " + sides[1].file +
+                        ": draws a different plan than the first scenario, so the sides cannot be compared");
   }
-  return out;
+  return sides;
 }
 
 Outcome run_side(const Side& side, uint64_t seed, const std::string& folder) {
-  RunOptions one;
-  one.file = side.file;
-  one.seed = seed;
-  one.plots = false;
-  const std::string here = folder + "/" + side.name + "-" + std::to_string(seed);
-  fs::create_directories(here);
-  Outcome out = run_once(one, side.scenario, here, side.build);
+  RunOptions run_options;
+  run_options.file = side.file;
+  run_options.seed = seed;
+  run_options.plots = false;
+  const std::string run_folder = folder + "/" + side.name + "-" + std::to_string(seed);
+  fs::create_directories(run_folder);
+  Outcome outcome = run_once(run_options, side.scenario, run_folder, side.relay);
   std::fprintf(stderr, "seed %llu %s: worth %.4f, %s\n", static_cast<unsigned long long>(seed),
-               side.name.c_str(), out.figures.worth,
-               out.summary.substr(out.summary.rfind("invariants")).c_str());
-  return out;
+               side.name.c_str(), outcome.figures.worth,
+               outcome.summary.substr(outcome.summary.rfind("invariants")).c_str());
+  return outcome;
 }
 
 std::string json_of(const std::vector<Difference>& differences) {
@@ -283,74 +300,82 @@
 
 int compare(const CompareOptions& options) {
   const std::array<Side, 2> sides = sides_of(options);
-  const std::string folder = new_folder(options.out, sides[0].scenario.name + "-compare", 0);
+  const std::string folder = new_folder(options.folder, sides[0].scenario.name + "-compare", 0);
   std::vector<Pair> pairs;
-  bool all_held = true;
-  bool measured = true;
+  bool invariants_hold = true;
+  bool all_measured = true;
   for (const uint64_t seed : seed_list(options.seeds)) {
     Pair pair{seed, {}, {}};
     for (size_t turn = 0; turn < 2; ++turn) {
-      const size_t side = (turn + seed) % 2;  // who is first changes with the seed
+      const size_t side = (turn + seed) % 2;  // alternates with the seed, so that no side always runs first
       const Outcome out = run_side(sides[side], seed, folder);
       (side == 0 ? pair.a : pair.b) = out.figures;
-      all_held = all_held && held(out.verdicts);
-      measured = measured && out.figures.measured;
+      invariants_hold = invariants_hold && held(out.verdicts);
+      all_measured = all_measured && out.figures.measured;
     }
     pairs.push_back(pair);
   }
-  const auto all = differences(pairs);
+  const auto results = differences(pairs);
   if (options.json) {
-    std::printf("%s\n", json_of(all).c_str());
+    std::printf("%s\n", json_of(results).c_str());
   } else {
-    std::printf("%s%zu seeds by turns; runs in %s%s\n", table(all).c_str(), pairs.size(), folder.c_str(),
-                measured ? "" : "; NOT MEASURED: the lab was late in some run");
+    std::printf("%s%zu seeds, sides in alternating order; runs in %s%s\n", table(results).c_str(),
+                pairs.size(), folder.c_str(),
+                all_measured ? "" : "; NOT MEASURED: the machine was too busy in at least one run");
   }
-  if (!all_held) std::fprintf(stderr, "invariants were broken: see the reports\n");
-  return all_held ? kHeld : kBroken;
+  if (!invariants_hold) std::fprintf(stderr, "invariants were violated: see the reports\n");
+  return invariants_hold ? kExitOk : kExitFailed;
 }
 
 }  // namespace
 
 void add_lab(CLI::App& app, int& status) {
-  CLI::App* lab =
-      app.add_subcommand("lab", "Play real processes with faults between them, and check what must hold.");
+  CLI::App* lab = app.add_subcommand(
+      "lab", "Play scenarios with real processes and injected faults, and check invariants.");
   lab->require_subcommand(1);
   lab->footer("Example: turntally lab run lab/scenarios/herd.toml --seed 3");
 
   static RunOptions run_options;
   CLI::App* run_command =
-      lab->add_subcommand("run", "Play a scenario; writes a folder with events, figures and a report.");
-  run_command->add_option("FILE", run_options.file, "the scenario, in TOML")->required();
-  run_command->add_option("--seed", run_options.seed, "what is drawn, to the byte (default 1)");
-  run_command->add_option("--out", run_options.out, "the run's folder (default logs/lab/NAME-SEED)");
+      lab->add_subcommand("run", "Play a scenario and write a folder with events, figures and a report.");
+  run_command->add_option("FILE", run_options.file, "scenario file in TOML")->required();
+  run_command->add_option(
+      "--seed", run_options.seed,
+      "seed of everything that is drawn at random; the same seed draws the same plan (default 1)");
+  run_command->add_option("--out", run_options.folder,
+                          "the run's folder, empty or new (default: a new logs/lab/NAME-SEED)");
   run_command->add_option("--relay", run_options.relay,
-                          "the relay program (default: turntally-relay beside turntally)");
-  run_command->add_option("--log-level", run_options.level,
-                          "of the relays (default info); debug traces each message");
-  run_command->add_flag("--json", run_options.json, "figures as JSON");
-  run_command->add_flag("!--no-plots", run_options.plots, "leave gnuplot out");
+                          "relay program (default: turntally-relay in the folder of turntally)");
+  run_command->add_option("--log-level", run_options.log_level,
+                          "log level of the processes (default info); debug logs every message");
+  run_command->add_flag("--json", run_options.json, "print the figures as JSON");
+  run_command->add_flag("!--no-plots", run_options.plots, "draw no plots with gnuplot");
   run_command->footer("Example: turntally lab run lab/scenarios/calm.toml --seed 3 --out logs/calm-3");
   run_command->callback([&status] { status = run(run_options); });
 
   static RunOptions check_options;
-  CLI::App* check_command = lab->add_subcommand("check", "Say what a scenario would do; plays nothing.");
-  check_command->add_option("FILE", check_options.file, "the scenario, in TOML")->required();
-  check_command->add_option("--seed", check_options.seed, "what is drawn (default 1)");
-  check_command->add_flag("--plan", check_options.json, "every arrival and fault, a line each");
+  CLI::App* check_command =
+      lab->add_subcommand("check", "Show what a scenario would do, without playing it.");
+  check_command->add_option("FILE", check_options.file, "scenario file in TOML")->required();
+  check_command->add_option("--seed", check_options.seed,
+                            "seed of everything that is drawn at random (default 1)");
+  check_command->add_flag("--plan", check_options.json, "print every arrival and fault, one per line");
   check_command->footer("Example: turntally lab check lab/scenarios/calm.toml --seed 3");
-  check_command->callback([&status] { status = look(check_options); });
+  check_command->callback([&status] { status = check_scenario(check_options); });
 
   static CompareOptions compare_options;
-  CLI::App* compare_command = lab->add_subcommand("compare", "Play two builds by turns over the same seeds.");
-  compare_command->add_option("FILE", compare_options.file, "the scenario, in TOML")->required();
-  compare_command->add_option("--a", compare_options.a,
-                              "a relay program (default: turntally-relay beside turntally)");
-  compare_command->add_option("--b", compare_options.b, "the other one (default the same)");
+  CLI::App* compare_command = lab->add_subcommand(
+      "compare", "Play two relay programs or scenarios over the same seeds, in alternating order.");
+  compare_command->add_option("FILE", compare_options.file, "scenario file in TOML")->required();
+  compare_command->add_option(
+      "--a", compare_options.a,
+      "relay program of side a (default: turntally-relay in the folder of turntally)");
+  compare_command->add_option("--b", compare_options.b, "relay program of side b (same default)");
   compare_command->add_option("--b-file", compare_options.b_file,
-                              "its scenario, where it is another one of the same load and faults");
-  compare_command->add_option("--seeds", compare_options.seeds, "FROM..TO (default 1..5)");
-  compare_command->add_option("--out", compare_options.out, "the runs' folder");
-  compare_command->add_flag("--json", compare_options.json, "differences as JSON");
+                              "scenario of side b, with the same load and faults (default: FILE)");
+  compare_command->add_option("--seeds", compare_options.seeds, "range of seeds FROM..TO (default 1..5)");
+  compare_command->add_option("--out", compare_options.folder, "folder of all runs, empty or new");
+  compare_command->add_flag("--json", compare_options.json, "print the differences as JSON");
   compare_command->footer(
       "Example: turntally lab compare lab/scenarios/herd.toml --a build-old/turntally-relay --b "
       "build/turntally-relay "
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -1,4 +1,4 @@
-// turntally: one program for operators.
+// Entry point of turntally, the operators' program.
 #include <cstdio>
 #include <exception>
 #include <nlohmann/json.hpp>
@@ -11,33 +11,35 @@
 
 using namespace turntally;
 
-int failed(const net::Error& error) {
+// Prints the error to standard error and returns the exit status for its family.
+int report_error(const net::Error& error) {
   std::fprintf(stderr, "turntally: %s\n  %s [%s]\n", error.what(), error.action().c_str(), error.code());
   switch (error.family()) {
     case net::Family::kBroken:
-      return cli::kBroken;
+      return cli::kExitFailed;
     case net::Family::kMisuse:
-      return cli::kMisuse;
+      return cli::kExitMisuse;
     case net::Family::kRefused:
-      return cli::kRefused;
+      return cli::kExitRefused;
     case net::Family::kUnknown:
-      return cli::kUnknown;
+      return cli::kExitUnknown;
   }
-  return cli::kBroken;
+  return cli::kExitFailed;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("turntally: a message relay's fleet, for operators.");
+  CLI::App app("turntally: operates and tests a fleet of message relays.");
   app.set_version_flag("--version", "turntally " TURNTALLY_VERSION);
   app.footer(
-      "Exit status: 0 all held, 1 something was broken, 2 wrong use, 3 refused as things stand, 4 it may "
-      "have "
-      "been done.\nWhat went wrong stands on standard error, below it what to do [code: docs/errors.md].\n"
+      "Exit status: 0 success, 1 a check or a run failed, 2 invalid usage or input, 3 refused in the present "
+      "state, 4 outcome unknown: the request may have been carried out.\nErrors are printed to standard "
+      "error, "
+      "followed by what to do and the error's code, which docs/errors.md explains.\n"
       "Example: turntally lab run lab/scenarios/calm.toml");
   app.require_subcommand(1);
-  int status = cli::kHeld;
+  int status = cli::kExitOk;
   cli::add_controller(app, status);
   cli::add_lab(app, status);
   cli::add_registry(app, status);
@@ -45,16 +47,17 @@
   try {
     app.parse(argc, argv);
     return status;
-  } catch (const CLI::Success& done) {  // --help, --version
-    return app.exit(done);
+  } catch (const CLI::Success& success) {  // --help, --version
+    return app.exit(success);
   } catch (const CLI::ParseError& error) {
-    const auto unknown = app.remaining(true);
-    return failed(cli::WrongUse(unknown.empty() ? error.what() : "'" + unknown.front() + "' is not known"));
+    const auto unparsed = app.remaining(true);
+    return report_error(cli::InvalidUsage(
+        unparsed.empty() ? error.what() : "'" + unparsed.front() + "' is not a known command or option"));
   } catch (const net::Error& error) {
-    return failed(error);
-  } catch (const nlohmann::json::exception& error) {  // files are read with words of their own
-    return failed(registry::AnswerUnreadable(error.what()));
+    return report_error(error);
+  } catch (const nlohmann::json::exception& error) {  // a reply: files are parsed without exceptions
+    return report_error(registry::AnswerUnreadable(error.what()));
   } catch (const std::exception& error) {
-    return failed(cli::Unexpected(error.what()));
+    return report_error(cli::Unexpected(error.what()));
   }
 }
--- a/tests/cli/errors_test.cpp
+++ b/tests/cli/errors_test.cpp
@@ -1,5 +1,5 @@
-// Errors as programs and operators meet them: every type, the table in docs/errors.md, the registry's client,
-// and the exit statuses of turntally.
+// Tests the error types against the table in docs/errors.md, the errors that the registry's client raises,
+// and the exit statuses and error output of turntally.
 #include "cli/errors.h"
 
 #include <gtest/gtest.h>
@@ -31,9 +31,9 @@
 
 namespace fs = std::filesystem;
 
-// One of each. A type that is missing here fails EveryTypeIsWalked.
-const std::map<std::string, net::Error>& all() {
-  static const std::map<std::string, net::Error> kAll = {
+// Returns an instance of every error type. Errors.SampleListNamesEveryType fails if a type is missing here.
+const std::map<std::string, net::Error>& sample_errors() {
+  static const std::map<std::string, net::Error> kErrors = {
       {"net/BadInput", net::BadInput("f:1: key: is missing")},
       {"net/CannotListen", net::CannotListen("127.0.0.1:1", "in use")},
       {"registry/BadRequest", registry::BadRequest("no")},
@@ -83,27 +83,27 @@
       {"lab/NotReady", lab::NotReady("the registry", 3)},
       {"lab/NotWritten", lab::NotWritten("file")},
       {"lab/NoPlot", lab::NoPlot("file")},
-      {"cli/WrongUse", cli::WrongUse("no")},
+      {"cli/InvalidUsage", cli::InvalidUsage("no")},
       {"cli/FileUnreadable", cli::FileUnreadable("file", "no")},
       {"cli/NotConfirmed", cli::NotConfirmed()},
-      {"cli/NotListed", cli::NotListed("e-1")},
-      {"cli/NoProgram", cli::NoProgram("--a", "file")},
+      {"cli/EndpointNotListed", cli::EndpointNotListed("e-1")},
+      {"cli/NotExecutable", cli::NotExecutable("--a", "file")},
       {"cli/FolderUnusable", cli::FolderUnusable("folder", "no")},
       {"cli/MemberNotStarted", cli::MemberNotStarted(1, "no")},
       {"cli/MemberEnded", cli::MemberEnded(1, "no")},
       {"cli/Unexpected", cli::Unexpected("no")},
   };
-  return kAll;
+  return kErrors;
 }
 
-std::string text_of(const fs::path& path) {
+std::string file_text(const fs::path& path) {
   std::ostringstream out;
   out << std::ifstream(path).rdbuf();
   return out.str();
 }
 
-TEST(Errors, EveryTypeIsWalked) {
-  // The bases of a folder's own are no kinds of failure.
+TEST(Errors, SampleListNamesEveryType) {
+  // A folder's common base classes (Error, FenceError) are not error types themselves.
   const std::regex derived(
       R"((?:class|struct)\s+(?!Error\b|FenceError\b)(\w+)\s*(?:final\s*)?:\s*(?:public\s+)?(?:net::)?(?:Fence)?Error\b)");
   std::set<std::string> found;
@@ -111,33 +111,34 @@
     if (!fs::exists(fs::path(SOURCE) / folder)) continue;
     for (const auto& file : fs::directory_iterator(fs::path(SOURCE) / folder)) {
       if (file.path().extension() != ".h" && file.path().extension() != ".cpp") continue;
-      const std::string text = text_of(file.path());
+      const std::string text = file_text(file.path());
       for (std::sregex_iterator it(text.begin(), text.end(), derived), end; it != end; ++it)
         found.insert(std::string(folder) + "/" + (*it)[1].str());
     }
   }
-  std::set<std::string> walked;
-  for (const auto& [name, error] : all()) walked.insert(name);
-  EXPECT_EQ(found, walked);
+  std::set<std::string> sampled;
+  for (const auto& [name, error] : sample_errors()) sampled.insert(name);
+  EXPECT_EQ(found, sampled);
 }
 
-TEST(Errors, EachHasACodeOfItsOwnAndAnActionAsItStandsInTheTable) {
+TEST(Errors, CodesAreUniqueAndTableListsActionAndStatus) {
   struct Row {
     std::string action;
     std::string status;
   };
   std::map<std::string, Row> table;
   const std::regex row(R"(\| `(\w+)` \| [^|]+ \| ([^|]+) \| ([1-4]) \|)");
-  std::istringstream lines(text_of(fs::path(SOURCE) / "docs/errors.md"));
+  std::istringstream lines(file_text(fs::path(SOURCE) / "docs/errors.md"));
   for (std::string line; std::getline(lines, line);) {
     std::smatch match;
     if (!std::regex_match(line, match, row)) continue;
-    EXPECT_TRUE(table.emplace(match[1], Row{match[2], match[3]}).second) << match[1] << " stands there twice";
+    EXPECT_TRUE(table.emplace(match[1], Row{match[2], match[3]}).second)
+        << match[1] << " is in the table twice";
   }
   std::map<std::string, std::string> codes;
-  for (const auto& [name, error] : all()) {
+  for (const auto& [name, error] : sample_errors()) {
     const std::string code = error.code();
-    // A fence is one and the same wherever a lower token meets it.
+    // lease_fenced is shared by every component that refuses a token lower than one it has seen.
     EXPECT_TRUE(codes.emplace(code, name).second || code == "lease_fenced")
         << name << " and " << codes[code] << ": " << code;
     EXPECT_TRUE(std::regex_match(code, std::regex("[a-z_]+"))) << name << ": " << code;
@@ -146,22 +147,25 @@
     EXPECT_EQ(table[code].action, error.action()) << name;
     EXPECT_EQ(table[code].status, std::to_string(1 + static_cast<int>(error.family()))) << name;
   }
-  for (const auto& [code, entry] : table) EXPECT_TRUE(codes.contains(code)) << code << " is no type's";
+  for (const auto& [code, entry] : table)
+    EXPECT_TRUE(codes.contains(code)) << code << " belongs to no error type";
 }
 
-// A member that answers as a test says, on a thread of its own.
-class Member {
+// A stand-in for a registry member that runs on a thread of its own and answers through a test's handler. A
+// reply with status 0 is never sent.
+class FakeMember {
  public:
-  using Say = std::function<net::HttpReply(const net::HttpRequest&)>;
-  explicit Member(Say say)
-      : server_(io_, net::parse_address("127.0.0.1:0"), {},
-                [this, say](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& answer) {
-                  const net::HttpReply reply = say(request);
-                  reply.status != 0 ? answer->reply(reply) : owed_.push_back(answer);
-                }),
+  using Handler = std::function<net::HttpReply(const net::HttpRequest&)>;
+  explicit FakeMember(Handler handler)
+      : server_(
+            io_, net::parse_address("127.0.0.1:0"), {},
+            [this, handler](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& answer) {
+              const net::HttpReply reply = handler(request);
+              reply.status != 0 ? answer->reply(reply) : unanswered_.push_back(answer);
+            }),
         address_(server_.address()),
         thread_([this] { io_.run(); }) {}
-  ~Member() {
+  ~FakeMember() {
     io_.stop();
     thread_.join();
   }
@@ -169,18 +173,21 @@
 
  private:
   boost::asio::io_context io_;
-  std::vector<std::shared_ptr<net::HttpAnswer>> owed_;  // for ever
+  std::vector<std::shared_ptr<net::HttpAnswer>> unanswered_;  // kept open until the end
   net::HttpServer server_;
   net::tcp::endpoint address_;
   std::thread thread_;
 };
 
-net::HttpReply says(int status, const std::string& body) { return {status, body, "application/json", {}}; }
+net::HttpReply json_reply(int status, const std::string& body) {
+  return {status, body, "application/json", {}};
+}
 
-// What a call ends with: the error's code, action and family.
+// Calls the client and returns the error of type `Type` that the call throws; any other outcome fails the
+// test.
 template <typename Type>
-Type ends(const net::tcp::endpoint& at, const std::string& method,
-          std::chrono::milliseconds timeout = std::chrono::seconds(20)) {
+Type error_of_call(const net::tcp::endpoint& at, const std::string& method,
+                   std::chrono::milliseconds timeout = std::chrono::seconds(20)) {
   registry::Client client({at}, std::chrono::milliseconds(200));
   try {
     client.get({method, "/api/targets", {}, "", timeout});
@@ -193,47 +200,49 @@
   throw std::logic_error("unreached");
 }
 
-TEST(Errors, TheClientPassesOnTheRegistrysCodeAndAction) {
-  const Member named([](const auto&) {
-    return says(
+TEST(Errors, ClientKeepsCodeAndActionOfRegistryReply) {
+  const FakeMember named([](const auto&) {
+    return json_reply(
         409, R"({"code":"lease_fenced","error":"a\nlater grant stands","action":"stop","outcome":"none"})");
   });
-  const auto refused = ends<registry::Refused>(named.address(), "PUT");
+  const auto refused = error_of_call<registry::Refused>(named.address(), "PUT");
   EXPECT_STREQ(refused.code(), "lease_fenced");
   EXPECT_STREQ(refused.what(), "a later grant stands");
   EXPECT_EQ(refused.action(), "stop");
   EXPECT_EQ(refused.family(), net::Family::kRefused);
-  const Member plain([](const auto&) { return says(400, R"({"error":"no","code":"A B"})"); });
-  EXPECT_STREQ(ends<registry::Refused>(plain.address(), "PUT").code(), "registry_refused");
-  EXPECT_EQ(ends<registry::Refused>(plain.address(), "PUT").family(), net::Family::kMisuse);
-  const Member other([](const auto&) { return says(200, "<html>\n"); });
-  EXPECT_NE(std::string(ends<registry::AnswerUnreadable>(other.address(), "GET").what()).find("<html>"),
-            std::string::npos);
+  const FakeMember plain([](const auto&) { return json_reply(400, R"({"error":"no","code":"A B"})"); });
+  EXPECT_STREQ(error_of_call<registry::Refused>(plain.address(), "PUT").code(), "registry_refused");
+  EXPECT_EQ(error_of_call<registry::Refused>(plain.address(), "PUT").family(), net::Family::kMisuse);
+  const FakeMember other([](const auto&) { return json_reply(200, "<html>\n"); });
+  EXPECT_NE(
+      std::string(error_of_call<registry::AnswerUnreadable>(other.address(), "GET").what()).find("<html>"),
+      std::string::npos);
 }
 
-TEST(Errors, TheClientSaysWhatMayHaveBeenDone) {
+TEST(Errors, ClientReportsUnknownOutcomeOfUnansweredWrite) {
   net::tcp::endpoint nowhere;
   {
-    const Member gone([](const auto&) { return says(200, "{}"); });
+    const FakeMember gone([](const auto&) { return json_reply(200, "{}"); });
     nowhere = gone.address();
   }
-  ends<registry::NoMember>(nowhere, "GET");
-  ends<registry::NoMember>(nowhere, "PUT");  // it never arrived
-  const Member silent([](const auto&) { return says(0, ""); });
+  error_of_call<registry::NoMember>(nowhere, "GET");
+  error_of_call<registry::NoMember>(nowhere, "PUT");  // the connection was refused, so nothing was sent
+  const FakeMember silent([](const auto&) { return json_reply(0, ""); });
   const auto soon = std::chrono::milliseconds(100);
-  ends<registry::NoMember>(silent.address(), "GET", soon);
-  ends<registry::OutcomeUnknown>(silent.address(), "PUT", soon);
-  const Member unsure([](const auto&) { return says(503, R"({"error":"late","outcome":"unknown"})"); });
-  EXPECT_STREQ(ends<registry::OutcomeUnknown>(unsure.address(), "PUT").what(),
+  error_of_call<registry::NoMember>(silent.address(), "GET", soon);
+  error_of_call<registry::OutcomeUnknown>(silent.address(), "PUT", soon);
+  const FakeMember unsure(
+      [](const auto&) { return json_reply(503, R"({"error":"late","outcome":"unknown"})"); });
+  EXPECT_STREQ(error_of_call<registry::OutcomeUnknown>(unsure.address(), "PUT").what(),
                "late; the write may have been applied");
-  ends<registry::Refused>(unsure.address(), "GET");
-  const Member leaderless(
-      [](const auto&) { return says(503, R"({"error":"none leads","outcome":"none"})"); });
-  ends<registry::Refused>(leaderless.address(), "PUT");
+  error_of_call<registry::Refused>(unsure.address(), "GET");
+  const FakeMember leaderless(
+      [](const auto&) { return json_reply(503, R"({"error":"none leads","outcome":"none"})"); });
+  error_of_call<registry::Refused>(leaderless.address(), "PUT");
 }
 
-// The status of a command of turntally, and what it wrote to standard error.
-std::pair<int, std::string> turntally(const std::string& arguments) {
+// Runs turntally and returns its exit status, or -1 if a signal ended it, and its standard error.
+std::pair<int, std::string> run_turntally(const std::string& arguments) {
   FILE* pipe =
       ::popen((std::string(TURNTALLY) + " " + arguments + " 2>&1 >/dev/null </dev/null").c_str(), "r");
   std::string out;
@@ -243,38 +252,42 @@
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
 }
 
-TEST(Errors, TurntallyEndsByTheirFamilyAndSaysWhatToDo) {
+TEST(Errors, TurntallyExitsWithStatusOfErrorFamilyAndPrintsAction) {
   std::string folder = ::testing::TempDir() + "errors-XXXXXX";
   ASSERT_NE(::mkdtemp(folder.data()), nullptr);
   std::ofstream(folder + "/list.json") << R"({"entries":[{"id":"a","host_port":"127.0.0.1:80"}]})";
   std::atomic<int> status = 409;
-  const Member member([&status](const net::HttpRequest& request) {
-    if (request.method == "GET") return says(200, R"({"entries":[]})");
-    return says(status, R"({"code":"conflict","error":"changed","action":"look again","outcome":"unknown"})");
+  const FakeMember member([&status](const net::HttpRequest& request) {
+    if (request.method == "GET") return json_reply(200, R"({"entries":[]})");
+    return json_reply(status,
+                      R"({"code":"conflict","error":"changed","action":"look again","outcome":"unknown"})");
   });
   const std::string apply =
       "targets apply " + folder + "/list.json --at " + net::text_of(member.address()) + " --yes";
-  EXPECT_EQ(turntally(apply), std::pair(3, std::string("+ a  host_port \"127.0.0.1:80\"\nturntally: changed\n"
-                                                       "  look again [conflict]\n")));
-  status = 503;  // the client's whole patience, 8 s
-  EXPECT_EQ(turntally(apply).first, 4);
+  EXPECT_EQ(run_turntally(apply),
+            std::pair(3, std::string("+ a  host_port \"127.0.0.1:80\"\nturntally: changed\n"
+                                     "  look again [conflict]\n")));
+  status = 503;  // takes the client's whole timeout of 8 s
+  EXPECT_EQ(run_turntally(apply).first, 4);
   status = 500;
-  EXPECT_EQ(turntally(apply).first, 1);
-  EXPECT_EQ(turntally("targets drain nobody --yes --at " + net::text_of(member.address())),
-            std::pair(2, std::string("turntally: 'nobody' is not listed\n"
-                                     "  see turntally targets list for the ids [endpoint_not_listed]\n")));
-  EXPECT_EQ(turntally("nonsense"),
-            std::pair(2, std::string("turntally: 'nonsense' is not known\n"
-                                     "  see --help, also behind a command [wrong_use]\n")));
-  EXPECT_EQ(turntally("registry run " + folder + "/none.toml").first, 2);
-  const std::string address = net::text_of(member.address());  // where somebody listens already
+  EXPECT_EQ(run_turntally(apply).first, 1);
+  EXPECT_EQ(
+      run_turntally("targets drain nobody --yes --at " + net::text_of(member.address())),
+      std::pair(2,
+                std::string("turntally: endpoint 'nobody' is not in the registry's list\n"
+                            "  run turntally targets list to see the endpoint ids [endpoint_not_listed]\n")));
+  EXPECT_EQ(run_turntally("nonsense"),
+            std::pair(2, std::string("turntally: 'nonsense' is not a known command or option\n"
+                                     "  see turntally --help, or --help after a subcommand [wrong_use]\n")));
+  EXPECT_EQ(run_turntally("registry run " + folder + "/none.toml").first, 2);
+  const std::string address = net::text_of(member.address());  // already in use
   std::ofstream(folder + "/r.toml") << "folder = \"" << folder
                                     << "/state\"\n[[members]]\nmember = 1\nraft = \""
                                     << "127.0.0.1:1\"\nhttp = \"" << address << "\"\n";
-  const auto [ended, why] = turntally("registry run " + folder + "/r.toml");
-  EXPECT_EQ(ended, 1);
-  EXPECT_NE(why.find("cannot listen at " + address), std::string::npos) << why;
-  EXPECT_NE(why.find("[cannot_listen]"), std::string::npos) << why;
+  const auto [exit_status, output] = run_turntally("registry run " + folder + "/r.toml");
+  EXPECT_EQ(exit_status, 1);
+  EXPECT_NE(output.find("cannot listen at " + address), std::string::npos) << output;
+  EXPECT_NE(output.find("[cannot_listen]"), std::string::npos) << output;
   fs::remove_all(folder);
 }
 
