--- a/tests/cli/transcript_test.cpp
+++ b/tests/cli/transcript_test.cpp
@@ -1,4 +1,4 @@
-// Approved transcripts of real processes, and the harness that keeps them.
+// Compares exchanges between real processes with their approved transcripts, and tests the Transcript class.
 #include "tests/support/transcript.h"
 
 #include <gtest/gtest.h>
@@ -25,10 +25,11 @@
 
 constexpr auto kDeadline = std::chrono::milliseconds(2 * kDeadlineMs);
 
+// A temporary folder that is removed when destroyed.
 class Folder {
  public:
   Folder() : path_(::testing::TempDir() + "transcript-XXXXXX") {
-    if (::mkdtemp(path_.data()) == nullptr) throw std::runtime_error("no folder");
+    if (::mkdtemp(path_.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
   }
   ~Folder() { fs::remove_all(path_); }
   const std::string& path() const { return path_; }
@@ -40,21 +41,21 @@
   std::string path_;
 };
 
-// TURNTALLY_APPROVE as a test wants it, and as it was afterwards.
-class Approval {
+// Sets TURNTALLY_APPROVE, or unsets it for a null value, and restores the previous value when destroyed.
+class ScopedApproval {
  public:
-  explicit Approval(const char* value) {
-    if (const char* now = std::getenv(kName)) before_ = now;
+  explicit ScopedApproval(const char* value) {
+    if (const char* present = std::getenv(kName)) previous_ = present;
     value == nullptr ? ::unsetenv(kName) : ::setenv(kName, value, 1);
   }
-  ~Approval() { before_ ? ::setenv(kName, before_->c_str(), 1) : ::unsetenv(kName); }
+  ~ScopedApproval() { previous_ ? ::setenv(kName, previous_->c_str(), 1) : ::unsetenv(kName); }
 
  private:
   static constexpr const char* kName = "TURNTALLY_APPROVE";
-  std::optional<std::string> before_;
+  std::optional<std::string> previous_;
 };
 
-TEST(Transcript, PutsTheSameValueInTheSamePlace) {
+TEST(Transcript, ReplacesEqualValuesWithTheSamePlaceholder) {
   Transcript t("none", "/nowhere");
   t.place("pid", R"(pid (\d+))");
   t.said("a", "b", "pid 71 at 127.3.2.1:80",
@@ -83,26 +84,26 @@
   EXPECT_NE(unified("a\n", "a"), "");
 }
 
-TEST(Transcript, PassesOnlyWhatWasApprovedAndNeverWhileItApproves) {
+TEST(Transcript, FailsWhenTextIsNotApprovedOrWhileApproving) {
   const Folder folder;
   Transcript t("one", folder.path());
   t.note("first");
-  const Approval none(nullptr);
+  const ScopedApproval none(nullptr);
   EXPECT_NE(t.judge().find("nothing is approved"), std::string::npos);
   EXPECT_NE(t.judge().find("+== first\n"), std::string::npos);
   EXPECT_NE(t.judge().find("TURNTALLY_APPROVE=1"), std::string::npos);
   EXPECT_FALSE(fs::exists(folder.path() + "/one.txt"));
   {
-    const Approval now("1");
+    const ScopedApproval approving("1");
     EXPECT_NE(t.judge(), "");
-    EXPECT_NE(t.judge(), "");  // also what is as it was
+    EXPECT_NE(t.judge(), "");  // an unchanged text fails too
   }
   EXPECT_EQ(t.judge(), "");
   t.note("second");
   EXPECT_NE(t.judge().find("+== second\n"), std::string::npos);
 }
 
-// A member of a registry as a process, and who talks with it.
+// A registry of one member, run as a process, and the clients whose exchanges with it are recorded.
 class Registry {
  public:
   explicit Registry(Transcript& transcript) : transcript_(transcript) {
@@ -118,7 +119,7 @@
   std::string at() const { return net::text_of(address_); }
   const std::string& folder() const { return folder_.path(); }
 
-  // Until it takes writes, and knows what it knew.
+  // Starts the member and waits until it leads and has the revision that it had before kill().
   void start() {
     process_.emplace(std::vector<std::string>{TURNTALLY, "registry", "run", "member.toml"}, folder());
     const auto until = std::chrono::steady_clock::now() + kDeadline;
@@ -131,12 +132,14 @@
       ::usleep(20'000);
     }
   }
+  // Kills the member and returns the negated signal that ended it.
   int kill() {
     revision_ = status().value("revision", int64_t{0});
     return process_->kill(SIGKILL);
   }
 
-  // `shown` in the body's place, where it is long.
+  // Calls the registry and returns its reply's JSON, null without a reply. `shown`, unless empty, is recorded
+  // instead of a long body.
   json call(const std::string& method, const std::string& target, const std::string& body,
             const std::string& shown = "") {
     transcript_.said("deployment", "registry", method + " " + target, shown.empty() ? body : shown);
@@ -149,7 +152,7 @@
     return json::parse(reply->body);
   }
 
-  // What `turntally` writes and how it ends, as somebody who has no terminal sees it.
+  // Runs turntally without a terminal and records its output and exit status.
   void command(const std::string& arguments) {
     Child child({"/bin/sh", "-c", TURNTALLY " " + arguments + " </dev/null"}, folder(),
                 {{"TURNTALLY_REGISTRY", at()}});
@@ -158,33 +161,36 @@
     transcript_.said("turntally", "operator", "exit status " + std::to_string(status), out);
   }
 
-  // A watch from what its client knows; "": from nothing.
+  // A watch of the list. `position` is the query that gives the client's revision and identity; an empty one
+  // starts without a list.
   class Watch {
    public:
-    Watch(Registry& registry, const std::string& known) : registry_(registry) {
-      const std::string target = "/api/targets?stream=1" + known;
+    Watch(Registry& registry, const std::string& position) : registry_(registry) {
+      const std::string target = "/api/targets?stream=1" + position;
       registry_.transcript_.said("watch", "registry", "GET " + target);
       lines_ = std::make_shared<net::Lines>(
           io_, registry_.address_, kDeadline,
           [this](const std::string& line) {
-            // Quiet lines come when they come.
-            if (!line.empty() && !json::parse(line).contains("heard_ms")) told_.push_back(line);
+            // Empty lines and lines with heard_ms come at varying times and are not recorded.
+            if (!line.empty() && !json::parse(line).contains("heard_ms")) received_.push_back(line);
             return true;
           },
-          [this](net::Lines::End how) {
-            told_.push_back(net::Lines::name_of(how));
+          [this](net::Lines::End reason) {
+            received_.push_back(net::Lines::name_of(reason));
             lines_->close();
           });
       lines_->start(target);
     }
     ~Watch() { lines_->close(); }
 
+    // Returns the next line's JSON. A discarded value stands for the watch's end, or for no line until the
+    // deadline.
     json next() {
       const auto until = std::chrono::steady_clock::now() + kDeadline;
-      while (told_.empty() && std::chrono::steady_clock::now() < until)
+      while (received_.empty() && std::chrono::steady_clock::now() < until)
         io_.run_for(std::chrono::milliseconds(5));
-      const std::string line = told_.empty() ? "nothing" : told_.front();
-      if (!told_.empty()) told_.pop_front();
+      const std::string line = received_.empty() ? "nothing" : received_.front();
+      if (!received_.empty()) received_.pop_front();
       registry_.transcript_.said("registry", "watch", "a line", line);
       return json::parse(line, nullptr, false);
     }
@@ -192,7 +198,7 @@
    private:
     Registry& registry_;
     boost::asio::io_context io_;
-    std::deque<std::string> told_;
+    std::deque<std::string> received_;
     std::shared_ptr<net::Lines> lines_;
   };
 
@@ -209,12 +215,12 @@
   std::optional<Child> process_;
 };
 
-// Where a watch's client knows a line.
-std::string known(const json& line) {
+// Returns the query that resumes a watch after this line.
+std::string resume_query(const json& line) {
   return "&index=" + line["revision"].dump() + "&identity=" + line["identity"].get<std::string>();
 }
 
-TEST(Transcripts, AWatchMeetsCompaction) {
+TEST(Transcripts, WatchReadsWholeListAfterItsRevisionIsCompacted) {
   Transcript t("watch_compaction");
   t.title("A watch of the registry's list whose revision is compacted while it is away.");
   Registry registry(t);
@@ -227,37 +233,37 @@
     before = watch.next();
     t.note("the watch's connection ends");
   }
-  constexpr int kMany = 6000;  // two such revisions are more than the 10,000 changes that are kept
+  constexpr int kItemCount = 6000;  // two such revisions exceed the 10,000 changes that are kept
   for (const bool put : {true, false}) {
     json items = json::array();
-    for (int i = 0; i < kMany; ++i) {
+    for (int i = 0; i < kItemCount; ++i) {
       const json entry = put ? json{{"host_port", "127.0.0.1:80"}, {"cell", 2}} : json();
       items.push_back({{"id", "e" + std::to_string(i)}, {"entry", entry}});
     }
     registry.call("POST", "/api/targets", json{{"items", items}}.dump(),
-                  "{\"items\":[" + items[0].dump() + ", ... " + std::to_string(kMany) + " in all]}");
+                  "{\"items\":[" + items[0].dump() + ", ... " + std::to_string(kItemCount) + " in all]}");
   }
-  t.note("the watch comes back with what it knew");
+  t.note("the watch resumes from its last line");
   json whole;
   {
-    Registry::Watch watch(registry, known(before));
+    Registry::Watch watch(registry, resume_query(before));
     whole = watch.next();
     registry.command("targets drain a");
     registry.command("targets drain a --yes");
     watch.next();
   }
-  t.note("another comes back with the revision before that: it gets the change alone");
-  { Registry::Watch(registry, known(whole)).next(); }
+  t.note("another watch resumes from the revision before that: it gets the change alone");
+  { Registry::Watch(registry, resume_query(whole)).next(); }
   t.note("the registry is killed and started again");
   EXPECT_EQ(registry.kill(), -SIGKILL);
   registry.start();
-  { Registry::Watch(registry, known(whole)).next(); }
+  { Registry::Watch(registry, resume_query(whole)).next(); }
   t.check();
 }
 
-TEST(Transcripts, ARelayIsKilledAndEndsWhatItTookOn) {
+TEST(Transcripts, RelayDeliversAcceptedMessagesAfterKill) {
   Transcript t("relay_killed");
-  t.title("A relay takes a message on, is killed while its call is out, and ends it once it is back.");
+  t.title("A relay accepts a message, is killed during its call, and delivers it after the restart.");
   t.place("ms", R"(x-budget: (\d+)m)", false);
   Host receiver;
   Discovery discovery;
@@ -266,7 +272,7 @@
   relay.start();
   const auto put = [&](const std::string& id) {
     const std::string bytes = put_bytes(id, "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7", "ring");
-    std::string words;  // without RESP's counts
+    std::string words;  // without RESP's counts and lengths
     for (const char c : bytes) {
       if (c != '\r') words += c;
     }
@@ -291,25 +297,27 @@
   };
   put("00000000000000a1");
   call();
-  restart("while that call is out");
+  restart("during that call");
   call();
   receiver.answer("200");
   t.said("receiver", "relay", "200");
   logged("call_ended");
   logged("end");
-  put("00000000000000a2");  // its answer comes after the first one's end was recorded
+  put("00000000000000a2");  // acknowledged after the first message's final answer was recorded
   call();
-  restart("while the second one's call is out, when the first one is over");
-  call();  // of the second one alone
+  restart("during the second message's call, after the first message's final answer");
+  call();  // for the second message alone
   receiver.answer("200");
   t.said("receiver", "relay", "200");
   logged("end");
   t.check();
 }
 
-TEST(Transcripts, AnAnswerIsCut) {
+TEST(Transcripts, RelayRetriesTruncatedAnswerOnlyWhenSafe) {
   Transcript t("answer_cut");
-  t.title("Answers that break off: what may have run is sent again only where that does no harm.");
+  t.title(
+      "Truncated answers: a message that may have been processed is sent again only if its class allows "
+      "repeated calls.");
   t.place("ms", R"(x-budget: (\d+)m)", false);
   Host receiver;
   Discovery discovery;
@@ -343,14 +351,14 @@
   cut("HTTP/1.1 200 OK\r\nContent-Le", false);
   logged("call_ended");
   logged("end");
-  t.note("one that may not");
+  t.note("a message that may not be repeated");
   put("00000000000000a2", "unsafe");
   call();
   cut("HTTP/1.1 503 Servi", true);
   logged("call_ended");
   logged("end");
   t.said("relay", "platform", "a notice", discovery.notice().dump());
-  t.note("another, whose connection breaks before any answer");
+  t.note("another such message, whose connection breaks before any answer");
   put("00000000000000a3", "unsafe");
   call();
   cut("", true);
@@ -360,9 +368,9 @@
   t.check();
 }
 
-TEST(Transcripts, AShutdownMeetsRequestsInFlight) {
+TEST(Transcripts, RelayFinishesRequestsInFlightOnShutdown) {
   Transcript t("shutdown_in_flight");
-  t.title("A relay is told to end while a call is out, a request is half sent and a client rests.");
+  t.title("A relay is told to stop during a call, with a request half sent and an idle client.");
   t.place("ms", R"(x-budget: (\d+)m)", false);
   Host receiver;
   Discovery discovery;
@@ -371,9 +379,9 @@
   relay.start();
   const std::string facts = "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7";
   const auto send = [&](Socket& client, const std::string& name, const std::string& bytes,
-                        const std::string& what) {
+                        const std::string& shown) {
     EXPECT_TRUE(client.send(bytes));
-    t.said(name, "relay", what);
+    t.said(name, "relay", shown);
   };
   const auto put = [&](Socket& client, const std::string& name, const std::string& id) {
     send(client, name, put_bytes(id, facts, "ring"), "MSG.PUT " + id + " " + facts + " ring");
@@ -401,7 +409,7 @@
   Socket third = relay.client();
   send(third, "third client", "*1\r\n$4\r\nPING\r\n", "PING");
   answer(third, "third client");
-  t.note("the relay is told to end");
+  t.note("the relay is told to stop");
   relay.signal(SIGTERM);
   t.said("relay", "log", relay.log_line("stopping"));
   served();
@@ -415,7 +423,7 @@
   }
   ended(third, "third client");
   put(third, "third client", "00000000000000a3");
-  t.note("that crosses the relay's end: it is thrown away. The last call is not answered");
+  t.note("that request arrives while the relay stops and is discarded. The last call is not answered");
   t.note("the relay ends with status " + std::to_string(relay.wait()));
   ended(third, "third client");
   receiver.drop();
@@ -431,9 +439,9 @@
   t.check();
 }
 
-TEST(Transcripts, ConfigurationsAreRefused) {
+TEST(Transcripts, InvalidConfigurationsAreRefused) {
   Transcript t("configurations_refused");
-  t.plain();  // all of it is the same in each run
+  t.plain();  // the text is identical in every run
   t.title(
       "What turntally and the relay say of files that they cannot use. The first line of a file is line 1.");
   const Folder folder;
@@ -457,15 +465,16 @@
     const auto [status, out] = Child({TURNTALLY, "registry", "run", file}, folder.path()).wait();
     t.said("turntally", "operator", "exit status " + std::to_string(status), out);
   }
-  const auto relay = [&](const std::string& what, const std::map<std::string, std::string>& environment) {
-    t.said("operator", "relay", what);
+  const auto run_relay = [&](const std::string& description,
+                             const std::map<std::string, std::string>& environment) {
+    t.said("operator", "relay", description);
     const auto [status, out] = Child({TURNTALLY_RELAY}, folder.path(), environment).wait();
     t.said("relay", "operator", "exit status " + std::to_string(status), out);
   };
   std::map<std::string, std::string> environment = {{"PROXY_CONFIG", ""}, {"PROXY_STATE", folder.path()}};
-  relay("PROXY_CONFIG is not set", environment);
+  run_relay("PROXY_CONFIG is not set", environment);
   environment["PROXY_CONFIG"] = "relay.json";
-  relay("PROXY_CONFIG=relay.json, which is not there", environment);
+  run_relay("PROXY_CONFIG=relay.json, which is not there", environment);
   const json good = config_json("127.0.0.1:8500", {});
   for (const auto& [path, value] :
        std::vector<std::pair<std::string, json>>{{"/listen", "6379"},
@@ -475,21 +484,23 @@
     json bad = good;
     bad[json::json_pointer(path)] = value;
     folder.write("relay.json", bad.dump());
-    relay("relay.json with " + path + " = " + value.dump(), environment);
+    run_relay("relay.json with " + path + " = " + value.dump(), environment);
   }
   t.check();
 }
 
-// Settings change with the restart: a class is gone, another one of that name allows less.
-TEST(Transcripts, ARestartTriesWhatWasHeldUntried) {
+// Settings change with the restart: the class safe is gone, and the class unsafe now allows repeated calls.
+// Guards against a restart that judges accepted messages by the new settings.
+TEST(Transcripts, RestartDeliversUntriedMessagesUnderOldSettings) {
   Transcript t("relay_untried");
-  t.title("A relay is restarted with messages that it has taken on and not tried, under other settings.");
+  t.title(
+      "A relay is restarted with messages that it has accepted and not yet tried, under different settings.");
   t.place("ms", R"(x-budget: (\d+)m)", false);
   Host receiver;
   Discovery discovery;
   json config = config_json(discovery.address(), {member_json("s-1", receiver.address(), 7, "leaving")});
   config["settings"]["family_info"]["calls_out"] = 1;
-  config["settings"]["weights"] = "none";  // one call follows the other at once, in the order of the messages
+  config["settings"]["weights"] = "none";  // calls follow each other at once, in the order of the messages
   for (auto& category : config["settings"]["categories"]) category["target_s"] = 50.0;
   Program relay(config);
   relay.log_at("debug");
@@ -510,7 +521,7 @@
   };
   put("00000000000000a1", "safe");
   put("00000000000000a2", "unsafe");
-  t.note("its one receiver wants nothing new: no call is made");
+  t.note("the only endpoint is leaving: no call is made");
   for (auto& category : config["settings"]["categories"]) {
     if (category["name"] == "safe") category["name"] = "renamed";
     if (category["name"] == "unsafe") category["semantics"] = "safe";
@@ -523,20 +534,22 @@
   relay.start();
   put("00000000000000a3", "safe");
   discovery.tell(list_json(2, false, {member_json("s-2", receiver.address(), 7)}));
-  t.note("discovery tells of a receiver that is ready");
-  call("500");  // of the first, which was safe when it came
-  call("500");  // of the second, which was not
+  t.note("discovery lists a second, active endpoint");
+  call("500");  // of the first message, whose class was safe when it was accepted
+  call("500");  // of the second message, whose class was not
   t.said("relay", "discovery", "a notice", discovery.notice().dump());
-  call("200");  // the first again
+  call("200");  // the first message again
   t.said("relay", "log", relay.log_line("end"));
   t.check();
 }
 
-// What it misses counts as told 6 s after it fell silent.
-TEST(Transcripts, AWatchFallsSilentAndTheDrainItMissedIsHeeded) {
+// A change that the relay misses on a silent watch counts as announced 6 s after the watch fell silent, so
+// the relay must reopen the watch before then.
+TEST(Transcripts, RelayReopensSilentWatchAndAppliesMissedDrain) {
   Transcript t("silent_watch");
   t.title(
-      "A watch stays open and says nothing more. The relay asks anew, and heeds the drain that it missed.");
+      "A watch stays open without further lines. The relay opens a new one and applies the drain that it "
+      "missed.");
   t.place("ms", R"(x-budget: (\d+)m)", false);
   Host before;
   Host receiver;
@@ -569,7 +582,7 @@
   };
   const Socket silent = watch(list_json(5, true, {member_json("s-1", before.address(), 7)}));
   const auto since = std::chrono::steady_clock::now();
-  t.note("it says nothing more; s-1 is to drain, s-2 takes its place, s-3 comes");
+  t.note("no further lines on the watch; s-1 is drained, s-2 replaces it, s-3 is added");
   put("00000000000000a1", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=8");
   const Socket next = watch(
       list_json(6, false,
