--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -245,7 +245,7 @@
   return kExitOk;
 }
 
-// One side of a comparison.
+// A side of a comparison.
 struct Side {
   std::string name;  // "a" or "b"
   std::string file;
--- a/tests/cli/transcript_test.cpp
+++ b/tests/cli/transcript_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_NE(unified("a\n", "a"), "");
 }
 
-TEST(Transcript, FailsWhenTextIsNotApprovedOrWhileApproving) {
+TEST(Transcript, FailsWhenTextDiffersFromApprovedOrWhileApproving) {
   const Folder folder;
   Transcript t("one", folder.path());
   t.note("first");
