--- a/tests/relay/control_crossing_test.cpp
+++ b/tests/relay/control_crossing_test.cpp
@@ -1,5 +1,6 @@
-// The operators' address where a caller's bytes and another's connection cross. The address runs on a thread
-// of its own, which the test stops: what comes meanwhile is all there at once when it goes on.
+// The control listener when a caller's bytes and another caller's connection arrive at the same time. Its
+// event loop runs on its own thread, which the test blocks: everything that arrives meanwhile is pending when
+// it resumes.
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/post.hpp>
 #include <future>
@@ -21,21 +22,23 @@
 
   Socket connect() const { return Socket::connect(control_.address().port()); }
 
-  // Until the returned promise is kept nothing is accepted or read.
-  std::promise<void> stopped() {
-    std::promise<void> out;
-    boost::asio::post(io_, [go = std::make_shared<std::future<void>>(out.get_future())] { go->wait(); });
-    return out;
+  // Blocks the event loop, so that nothing is accepted or read until the returned promise is fulfilled.
+  std::promise<void> block_event_loop() {
+    std::promise<void> resume;
+    boost::asio::post(
+        io_, [resumed = std::make_shared<std::future<void>>(resume.get_future())] { resumed->wait(); });
+    return resume;
   }
 
-  // A whole call, which is answered; those that connected before it are accepted.
+  // Makes a complete call and waits for its answer. Callers that connected before it are accepted by then.
   void call() {
     Socket socket = connect();
     socket.send(kCall);
     EXPECT_TRUE(answered(socket));
   }
 
-  // All places, and nothing is said. The last one follows on a call's end, and is let in turns later.
+  // Takes all places with callers that send nothing. The last one takes the place of a finished call, which
+  // is freed some turns of the event loop later.
   std::vector<Socket> fill() {
     std::vector<Socket> out;
     while (out.size() + 1 < relay::Control::kMostCallers) out.push_back(connect());
@@ -64,53 +67,54 @@
   std::thread thread_{[this] { io_.run(); }};
 };
 
-// The oldest has said nothing for long, and says it all in the instant in which its place is wanted.
-TEST_F(ControlTest, ACallThatComesAheadOfANewcomerIsAnswered) {
-  std::vector<Socket> silent = fill();
-  std::promise<void> go = stopped();
-  silent.front().send(kCall);
+// The oldest caller has sent nothing so far; its whole call arrives when a newcomer needs its place.
+TEST_F(ControlTest, AnswersCallThatArrivesBeforeNewConnection) {
+  std::vector<Socket> idle = fill();
+  std::promise<void> resume = block_event_loop();
+  idle.front().send(kCall);
   const Socket newcomer = connect();
-  go.set_value();
-  EXPECT_TRUE(answered(silent.front()));
+  resume.set_value();
+  EXPECT_TRUE(answered(idle.front()));
   EXPECT_EQ(calls_, 2);
 }
 
-TEST_F(ControlTest, ACallThatComesBehindANewcomerIsAnswered) {
-  std::vector<Socket> silent = fill();
-  std::promise<void> go = stopped();
+TEST_F(ControlTest, AnswersCallThatArrivesAfterNewConnection) {
+  std::vector<Socket> idle = fill();
+  std::promise<void> resume = block_event_loop();
   const Socket newcomer = connect();
-  silent.front().send(kCall);
-  go.set_value();
-  EXPECT_TRUE(answered(silent.front()));
+  idle.front().send(kCall);
+  resume.set_value();
+  EXPECT_TRUE(answered(idle.front()));
   EXPECT_EQ(calls_, 2);
 }
 
-// Each of a crowd has sent its whole call before the first is accepted.
-TEST_F(ControlTest, ACrowdIsAnsweredToTheLast) {
-  std::promise<void> go = stopped();
-  std::vector<Socket> crowd;
+// All callers, three times as many as there are places, have sent their whole call before the first is
+// accepted.
+TEST_F(ControlTest, AnswersAllPendingCallsBeyondItsPlaces) {
+  std::promise<void> resume = block_event_loop();
+  std::vector<Socket> callers;
   for (size_t i = 0; i < 3 * relay::Control::kMostCallers; ++i) {
-    crowd.push_back(connect());
-    crowd.back().send(kCall);
+    callers.push_back(connect());
+    callers.back().send(kCall);
   }
-  go.set_value();
+  resume.set_value();
   size_t count = 0;
-  for (Socket& caller : crowd) count += answered(caller);
-  EXPECT_EQ(count, crowd.size());
-  EXPECT_EQ(calls_, static_cast<int>(crowd.size()));
+  for (Socket& caller : callers) count += answered(caller);
+  EXPECT_EQ(count, callers.size());
+  EXPECT_EQ(calls_, static_cast<int>(callers.size()));
 }
 
-// The first lines of calls that go no further hold no place against a call.
-TEST_F(ControlTest, HalfCallsMakeRoomInTheirTurn) {
-  std::vector<Socket> half;
+// Callers that send only half of a call lose their places to a complete call, the oldest first.
+TEST_F(ControlTest, ClosesOldestIncompleteCallToMakeRoom) {
+  std::vector<Socket> incomplete;
   for (size_t i = 0; i < 2 * relay::Control::kMostCallers; ++i) {
-    half.push_back(connect());
-    half.back().send(kCall.substr(0, kCall.size() / 2));
+    incomplete.push_back(connect());
+    incomplete.back().send(kCall.substr(0, kCall.size() / 2));
   }
   call();
-  EXPECT_TRUE(half.front().ended());
-  half.back().send(kCall.substr(kCall.size() / 2));
-  EXPECT_TRUE(answered(half.back()));
+  EXPECT_TRUE(incomplete.front().ended());
+  incomplete.back().send(kCall.substr(kCall.size() / 2));
+  EXPECT_TRUE(answered(incomplete.back()));
 }
 
 }  // namespace
--- a/tests/relay/customers_test.cpp
+++ b/tests/relay/customers_test.cpp
@@ -1,4 +1,5 @@
-// What another customer's settings may hold that those of the first do not.
+// Settings that only some operators use: class and tenant names outside ASCII, and classes delivered in
+// order.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -16,7 +17,7 @@
   nlohmann::json config = config_json(discovery.address(), {member_json("s-1", host.address(), 7)});
 };
 
-TEST(Customers, NameClassesAndTenantsAsTheyLike) {
+TEST(Customers, AcceptsNonAsciiClassAndTenantNames) {
   Customer c;
   c.config["settings"]["categories"][0]["name"] = "Z\u00e4hler ablesen";
   c.config["settings"]["realms"] = {{{"name", "M\u00fcller & Co"}, {"quota_per_s", 10.0}}};
@@ -33,8 +34,9 @@
   EXPECT_EQ(client.line(), "-ERR unreadable class");
 }
 
-// The key of a class in order is the command's first word; it outlives the process.
-TEST(Customers, HaveMessagesOfOneKeyDeliveredInTurn) {
+// The ordering key is the first argument of MSG.PUT. The journal keeps it, so the order holds across a
+// restart.
+TEST(Customers, DeliversMessagesOfOneOrderingKeyInOrderAcrossRestart) {
   Customer c;
   c.config["settings"]["categories"][0]["in_order"] = true;
   Program program(c.config);
@@ -50,22 +52,24 @@
   put("a2", "00008a60678a1f4b");
   put("b1", "000e53ecdb549f89");
   EXPECT_EQ(c.host.next().headers.at("x-call-id"), "a1");
-  Socket second = c.host.beside();
-  const auto other = read_request(second);
-  ASSERT_TRUE(other);
-  EXPECT_EQ(other->headers.at("x-call-id"), "b1");  // a2 was taken on before it
+  Socket second_connection = c.host.beside();
+  const auto second_call = read_request(second_connection);
+  ASSERT_TRUE(second_call);
+  EXPECT_EQ(second_call->headers.at("x-call-id"), "b1");  // although a2 was accepted before b1
   program.kill();
   c.host.drop();
   program.start();
-  Socket again[] = {c.host.beside(), c.host.beside()};  // in any order, as each waits a random pause
+  // The calls come in either order, as each waits for a random delay.
+  Socket resent_calls[] = {c.host.beside(), c.host.beside()};
   std::set<std::string> ids;
-  for (Socket& each : again) {
+  for (Socket& each : resent_calls) {
     const auto call = read_request(each);
     ASSERT_TRUE(call);
     ids.insert(call->headers.at("x-call-id"));
   }
-  EXPECT_EQ(ids, (std::set<std::string>{"a1", "b1"}));  // a2 has not been out, and waits for a1 still
-  for (Socket& each : again) each.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+  EXPECT_EQ(ids, (std::set<std::string>{"a1", "b1"}));  // a2 has never been sent and still waits for a1
+  for (Socket& each : resent_calls)
+    each.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
   EXPECT_EQ(c.host.next().headers.at("x-call-id"), "a2");
 }
 
--- a/tests/relay/flood_test.cpp
+++ b/tests/relay/flood_test.cpp
@@ -1,4 +1,5 @@
-// Clients that send much, rubbish, or nothing to the end: memory stays bounded, and others are served.
+// Clients that send floods, garbage or incomplete commands: memory stays bounded, and other clients are
+// served.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -14,12 +15,12 @@
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr size_t kOverhead = 10;  // what was freed stays for a while
+constexpr size_t kOverhead = 10;  // AddressSanitizer keeps freed memory in quarantine
 #else
 constexpr size_t kOverhead = 1;
 #endif
 
-// The most memory that the process has held so far, in MB.
+// Returns the peak resident memory of the process so far, in MB.
 size_t peak_mb(const Program& program) {
   std::ifstream in("/proc/" + std::to_string(program.pid()) + "/status");
   for (std::string line; std::getline(in, line);) {
@@ -35,8 +36,8 @@
     start_mb_ = peak_mb(program_);
   }
 
-  // A client that keeps to the protocol is served, and within its patience.
-  void others_are_served() {
+  // Checks that a client that keeps to the protocol is served within 5 s.
+  void expect_service() {
     const auto began = std::chrono::steady_clock::now();
     Socket client = program_.client();
     client.send(kPing);
@@ -57,43 +58,43 @@
   int served_ = 0;
 };
 
-// As much of a command as is read without being one, on every connection: the limit is 192 MB.
-TEST_F(Flood, CommandsWithoutAnEndHoldLittle) {
+// Each connection sends as much of a command as the relay reads without completing it. The limit is 192 MB.
+TEST_F(Flood, BoundsMemoryOfIncompleteCommands) {
   const std::string half =
       "*16\r\n$65536\r\n" + std::string(65'536, 'x') + "\r\n$8000\r\n" + std::string(7000, 'x');
-  std::vector<Socket> crowd;
+  std::vector<Socket> clients;
   for (int i = 0; i < 500; ++i) {
-    crowd.push_back(program_.client());
-    crowd.back().send(half);
+    clients.push_back(program_.client());
+    clients.back().send(half);
   }
-  others_are_served();
+  expect_service();
   EXPECT_LT(grown_mb(), kOverhead * 60);
   RecordProperty("grown_mb", static_cast<int>(grown_mb()));
 }
 
-TEST_F(Flood, MuchAtOnceAndGone) {
-  const std::string rubbish(1 << 20, 'x');
+TEST_F(Flood, BoundsMemoryOfLargeInputFromClosedConnections) {
+  const std::string garbage(1 << 20, 'x');
   std::string requests;
-  while (requests.size() < rubbish.size()) requests += kPing;
+  while (requests.size() < garbage.size()) requests += kPing;
   for (int i = 0; i < 200; ++i) {
     Socket client = program_.client();
-    ::send(client.fd(), (i % 2 == 0 ? rubbish : requests).data(), rubbish.size(),
+    ::send(client.fd(), (i % 2 == 0 ? garbage : requests).data(), garbage.size(),
            MSG_NOSIGNAL | MSG_DONTWAIT);
     i % 4 < 2 ? client.reset() : client.close();
   }
-  others_are_served();
+  expect_service();
   EXPECT_LT(grown_mb(), kOverhead * 30);
   RecordProperty("grown_mb", static_cast<int>(grown_mb()));
 }
 
-TEST_F(Flood, ConnectionsThatAreResetAtOnce) {
+TEST_F(Flood, ServesAfterManyImmediateResets) {
   for (int i = 0; i < 5000; ++i) program_.client().reset();
-  others_are_served();
+  expect_service();
   EXPECT_LT(grown_mb(), kOverhead * 10);
 }
 
-// One request is in service at a time: what stands behind it waits with the system.
-TEST_F(Flood, RequestsWhoseAnswersAreNeverRead) {
+// Each connection has one request in progress at a time; the requests behind it wait in the kernel's buffers.
+TEST_F(Flood, BoundsMemoryWhenAnswersAreNeverRead) {
   std::string puts;
   for (int i = 0; i < 8; ++i) {
     puts +=
@@ -101,30 +102,30 @@
   }
   std::string pings;
   while (pings.size() < puts.size()) pings += kPing;
-  std::vector<Socket> crowd;
+  std::vector<Socket> clients;
   for (int i = 0; i < 300; ++i) {
-    crowd.push_back(program_.client());
+    clients.push_back(program_.client());
     const std::string& bytes = i % 2 == 0 ? puts : pings;
-    ::send(crowd.back().fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    ::send(clients.back().fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   }
-  others_are_served();
+  expect_service();
   EXPECT_LT(grown_mb(), kOverhead * 60);
   RecordProperty("grown_mb", static_cast<int>(grown_mb()));
 }
 
-// Nothing behind a request is lost, and each is answered in its turn.
-TEST_F(Flood, RequestsBehindOneInServiceAreKept) {
+// No request that waits behind another is lost, and all are answered in order.
+TEST_F(Flood, AnswersPipelinedRequestsInOrder) {
   Socket client = program_.client();
   std::string bytes;
-  constexpr int kMany = 2000;
-  for (int i = 0; i < kMany; ++i) {
+  constexpr int kRequests = 2000;
+  for (int i = 0; i < kRequests; ++i) {
     const std::string word = std::to_string(i);
     bytes += "*2\r\n$4\r\nPING\r\n$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
   }
-  program_.signal(SIGSTOP);  // so that they are there together
+  program_.signal(SIGSTOP);  // so that all requests arrive before the first is read
   ASSERT_TRUE(client.send(bytes));
   program_.signal(SIGCONT);
-  for (int i = 0; i < kMany; ++i) {
+  for (int i = 0; i < kRequests; ++i) {
     client.line();
     ASSERT_EQ(client.line(), std::to_string(i));
   }
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -1,5 +1,6 @@
-// A new version under load: what crosses each step of the way from the old process to the new one. The test
-// plays one of the two, with the program's own half of the protocol, where an order has to be forced.
+// Handover from a predecessor to its successor under load: events that coincide with each step of the
+// protocol. Where an order has to be forced, the test plays one of the two processes with the relay's own
+// half of the protocol.
 #include "relay/handover.h"
 
 #include <sys/socket.h>
@@ -24,10 +25,8 @@
 
 constexpr size_t kDisk = 3'000'000;
 
-// ---- Ask, folder, calls, listener: either side is held up, is told something, or dies ----
-
-// Clients and calls of a process that is slow are not given up.
-TEST(Handover, WaitsForAProcessThatIsHeldUp) {
+// The successor waits for a slow predecessor, so that its clients and calls are not lost.
+TEST(Handover, WaitsForSlowPredecessor) {
   Side s;
   Program next(s.config);
   Before before(next.state());
@@ -43,12 +42,12 @@
   EXPECT_EQ(ping(client), "+PONG");
 }
 
-// Nor those of one that is quick, where the new one is: what it has not read yet waits for it.
-TEST(Handover, WaitsForANewProcessThatIsHeldUp) {
+// A fast predecessor waits for a slow successor: frames that the successor has not read yet are not lost.
+TEST(Handover, WaitsForSlowSuccessor) {
   Side s;
   s.start();
   std::vector<Socket> clients;
-  for (int i = 0; i < 24; ++i) {  // more than the way between the two holds
+  for (int i = 0; i < 24; ++i) {  // more than the socket between the two buffers
     clients.push_back(s.program->client());
     ASSERT_EQ(ping(clients.back()), "+PONG");
     const std::string begun = "*5\r\n$60000\r\n" + std::string(50'000, 'x');
@@ -62,14 +61,14 @@
   EXPECT_EQ(s.program->wait(), 0);
 }
 
-TEST(Handover, IsNotBrokenOffByASignal) {
+TEST(Handover, SurvivesSignalsWhileSuccessorWaits) {
   Side s;
   Program next(s.config);
   Before before(next.state());
   auto started = begin(next);
   before.await_asked();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  for (int i = 0; i < 20; ++i) {  // one of them comes while it waits for the next parcel
+  for (int i = 0; i < 20; ++i) {  // at least one arrives while the successor waits for the next frame
     next.signal(SIGHUP);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -80,8 +79,9 @@
   EXPECT_EQ(ping(client), "+PONG");
 }
 
-// Told to end before it has begun: what clients have handed over with them is still answered, and tried.
-TEST(Handover, ServesTheClientsOfAProcessThatEndsBeforeItHasOpened) {
+// SIGTERM comes before the successor has started to serve: requests on handed-stopping connections are still
+// answered and their messages still sent.
+TEST(Handover, ServesHandedOverClientsWhenStoppedBeforeListening) {
   Side s;
   Program next(s.config);
   Before before(next.state());
@@ -100,8 +100,8 @@
   EXPECT_EQ(next.wait(), 0);
 }
 
-TEST(Handover, ServesWhereTheProcessBeforeDiesHalfWay) {
-  for (const bool told : {false, true}) {
+TEST(Handover, ServesWhenPredecessorDiesHalfway) {
+  for (const bool call_handed_over : {false, true}) {
     Side s;
     Program next(s.config);
     {
@@ -115,7 +115,7 @@
     auto started = begin(next);
     before->await_asked();
     ASSERT_TRUE(before->handover.send_folder_lock());
-    if (told) before->give_call("m-out", 0);
+    if (call_handed_over) before->give_call("m-out", 0);
     before.reset();
     started.get();
     EXPECT_EQ(s.discovery.notice(), failed("m-out"));
@@ -126,8 +126,9 @@
   }
 }
 
-// The old one has nothing left that it could serve: it ends, and all is on the disk for the next start.
-TEST(Handover, LeavesAllOnTheDiskWhereTheNewProcessDies) {
+// The predecessor has given away the state folder and can serve nothing more: it exits, and the next start
+// finds all messages on disk.
+TEST(Handover, KeepsMessagesOnDiskWhenSuccessorDies) {
   for (const bool read : {false, true}) {
     Side s;
     s.start();
@@ -135,7 +136,7 @@
     EXPECT_EQ(s.put("m-out", facts("unsafe")), "+OK");
     EXPECT_EQ(id_of(s.host.next()), "m-out");
     Asker next(s.program->state());
-    ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);  // its right to the folder ends with it
+    ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);  // the predecessor may no longer use the folder
     if (read) {
       ASSERT_EQ(next.next().kind, HandoverFrame::kCall);
       ASSERT_EQ(next.next().kind, HandoverFrame::kListener);
@@ -152,8 +153,8 @@
   }
 }
 
-// Else a process that comes next sends a message while a call with it is still out.
-TEST(Handover, GivesUpItsCallsWhereTheNewProcessDies) {
+// Otherwise the next process would send a message while a call that carries it is still open.
+TEST(Handover, CancelsOpenCallsWhenSuccessorDies) {
   Side s;
   s.start();
   EXPECT_EQ(s.put("m-out", facts("safe")), "+OK");
@@ -165,15 +166,16 @@
   s.next->succeed(*s.program);
   s.next->start();
   EXPECT_EQ(id_of(s.host.next()), "m-out");
-  std::string left(10'000, ' ');  // of the first call; then its end
+  std::string left(10'000, ' ');  // receives the first call's bytes, then its end
   EXPECT_GT(::recv(first.fd(), left.data(), left.size(), MSG_DONTWAIT), 0);
   EXPECT_EQ(::recv(first.fd(), left.data(), left.size(), MSG_DONTWAIT), 0);
   s.host.answer("200");
   EXPECT_EQ(s.program->wait(), 0);
 }
 
-// It may wait for a connection, or for its turn: the process before never starts it, and may die.
-TEST(Handover, TriesAtOnceWhatTheProcessBeforeHadNotBegun) {
+// A call that the predecessor has not started may wait for a connection or for its turn. The predecessor
+// never starts it and may die, so the successor sends the message at once.
+TEST(Handover, SendsAtOnceMessagesThatPredecessorHadNotStarted) {
   Side s;
   Program next(s.config);
   {
@@ -192,30 +194,28 @@
   s.host.answer("200");
 }
 
-TEST(Handover, AnswersARequestThatCameWhileTheOldProcessWasAsked) {
+TEST(Handover, AnswersRequestsThatArriveWhileHandoverIsRequested) {
   Side s;
   s.start();
-  Socket kept = s.program->client();
-  EXPECT_EQ(ping(kept), "+PONG");
+  Socket idle_client = s.program->client();
+  EXPECT_EQ(ping(idle_client), "+PONG");
   s.program->signal(SIGSTOP);
-  kept.send(put_bytes("m-1", facts("safe")));
-  Socket fresh = s.program->client();  // in the queue of the listener
-  fresh.send(put_bytes("m-2", facts("safe", 99)));
+  idle_client.send(put_bytes("m-1", facts("safe")));
+  Socket queued_client = s.program->client();  // in the listener's queue
+  queued_client.send(put_bytes("m-2", facts("safe", 99)));
   s.next.emplace(s.config);
   s.next->succeed(*s.program);
   auto started = begin(*s.next);
   s.program->signal(SIGCONT);
   started.get();
-  EXPECT_EQ(kept.line(), "+OK");
-  EXPECT_EQ(fresh.line(), "+OK");
+  EXPECT_EQ(idle_client.line(), "+OK");
+  EXPECT_EQ(queued_client.line(), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   s.host.answer("200");
   EXPECT_EQ(s.program->wait(), 0);
 }
 
-// ---- Clients, ends ----
-
-TEST(Handover, EndsByItselfAfterSigtermThoughACallIsNeverAnswered) {
+TEST(Handover, PredecessorExitsAfterSigtermWhenCallIsNeverAnswered) {
   Side s;
   s.start();
   EXPECT_EQ(s.put("m-1", facts("unsafe")), "+OK");
@@ -228,21 +228,22 @@
   EXPECT_EQ(s.discovery.notice(), failed("m-1"));
 }
 
-// A client that the process before was still answering comes when the new one has given all away itself.
-TEST(Handover, PassesOnAClientThatComesLate) {
+// The predecessor hands stopping a client that it was still answering, after the process in the middle has
+// handed stopping everything itself.
+TEST(Handover, ForwardsClientThatArrivesLate) {
   Side s;
   Program middle(s.config);
   Before before(middle.state());
   auto started = begin(middle);
   before.await_asked();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-none", 0);  // of no message that is left
+  before.give_call("m-none", 0);  // of a message that no longer exists
   before.give_listener();
   started.get();
   Socket held = middle.client();
   held.send(put_bytes("m-1", facts("unsafe")));
   EXPECT_EQ(held.line(), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "m-1");  // while it is out the process in the middle goes on
+  EXPECT_EQ(id_of(s.host.next()), "m-1");  // the open call keeps the process in the middle running
   Asker last(middle.state());
   ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
   ASSERT_EQ(last.next().kind, HandoverFrame::kCall);
@@ -256,9 +257,8 @@
   EXPECT_EQ(last.next().kind, HandoverFrame::kEnded);
 }
 
-// Its repeat stays with the zone where it may have run.
-// The wait is the destination's, whichever host told it.
-TEST(Handover, HeedsTheWaitOfACallWhoseHostIsGone) {
+// The wait of a rejected call applies to the destination, also when the endpoint that asked for it has left.
+TEST(Handover, HonorsRetryAfterOfCallWhoseEndpointIsGone) {
   Side s;
   Program next(s.config);
   {
@@ -274,15 +274,15 @@
   before.give_call("m-1", 0, "s-gone");
   before.give_listener();
   started.get();
-  const auto told = std::chrono::steady_clock::now();
+  const auto rejected_at = std::chrono::steady_clock::now();
   before.give_end("m-1", policy::Outcome::kRejected, 1'500'000);
   EXPECT_EQ(id_of(s.host.next()), "m-1");
-  EXPECT_GE(std::chrono::steady_clock::now() - told, std::chrono::milliseconds(1500));
+  EXPECT_GE(std::chrono::steady_clock::now() - rejected_at, std::chrono::milliseconds(1500));
   s.host.answer("200");
 }
 
-// Its key waits for the call, and the message comes ahead of those that were taken on after it.
-TEST(Handover, KeepsTheOrderOfAKeyWhoseCallsHostIsGone) {
+// The ordering key waits for the call, and the message is sent before those that were accepted after it.
+TEST(Handover, KeepsOrderOfKeyWhenEndpointOfCallIsGone) {
   Side s;
   s.config["settings"]["categories"][2]["in_order"] = true;
   Program next(s.config);
@@ -309,12 +309,13 @@
   }
 }
 
-TEST(Handover, KnowsTheZoneOfACallWhoseHostIsGone) {
+// A repeat stays in the zone where the message may have run.
+TEST(Handover, RemembersZoneOfCallWhoseEndpointIsGone) {
   Side s;
   Host other;
-  auto far = member_json("s-2", other.address(), 7);
-  far["locality"] = "b";
-  s.config["known"]["members"].push_back(far);
+  auto remote_member = member_json("s-2", other.address(), 7);
+  remote_member["locality"] = "b";
+  s.config["known"]["members"].push_back(remote_member);
   s.config["settings"]["azs"] = {"a", "b"};
   s.config["settings"]["categories"][1]["key_scope"] = "zone";
   Program next(s.config);
@@ -336,8 +337,8 @@
   other.answer("200");
 }
 
-// The call is in the first of three processes, and the last one gives it up.
-TEST(Handover, PassesOnACancel) {
+// The first of three processes has the call, and the last one cancels it.
+TEST(Handover, ForwardsCancel) {
   Side s;
   Program middle(s.config);
   {
@@ -357,16 +358,16 @@
   for (const auto kind : {HandoverFrame::kFolder, HandoverFrame::kCall, HandoverFrame::kListener})
     ASSERT_EQ(last.next().kind, kind);
   last.tell(HandoverFrame::kCancel, "m-out");
-  std::string told;
-  before.handover.listen_to_successor([&](std::optional<HandoverFrame> parcel) {
-    told = parcel ? static_cast<char>(parcel->kind) + parcel->text : "gone";
+  std::string received;
+  before.handover.listen_to_successor([&](std::optional<HandoverFrame> frame) {
+    received = frame ? static_cast<char>(frame->kind) + frame->text : "gone";
   });
   before.io.restart();
-  while (told.empty() && before.io.run_one_for(std::chrono::milliseconds(kDeadlineMs)) > 0) continue;
-  EXPECT_EQ(told, "Xm-out");
+  while (received.empty() && before.io.run_one_for(std::chrono::milliseconds(kDeadlineMs)) > 0) continue;
+  EXPECT_EQ(received, "Xm-out");
 }
 
-TEST(Handover, ServesAClientThatComesWhenItsDoorIsShut) {
+TEST(Handover, ServesHandedOverClientAfterListenerIsClosed) {
   Side s;
   Program next(s.config);
   Before before(next.state());
@@ -379,13 +380,13 @@
     Socket client = next.client();
     client.send(put_bytes("m-1", facts("unsafe")));
     EXPECT_EQ(client.line(), "+OK");
-    EXPECT_EQ(id_of(s.host.next()), "m-1");  // while it is out the process goes on
+    EXPECT_EQ(id_of(s.host.next()), "m-1");  // the open call keeps the process running
   }
-  auto [waiting, later] = before.accept_client();  // as the process before has it still
+  auto [waiting, later] = before.accept_client();  // a connection that the predecessor still has
   ASSERT_TRUE(later.open());
   next.signal(SIGTERM);
-  Socket kept = next.client();
-  EXPECT_TRUE(kept.ended());  // from then on it takes nobody
+  Socket idle_client = next.client();
+  EXPECT_TRUE(idle_client.ended());  // from now on no new connection is accepted
   waiting.send(put_bytes("m-2", facts("safe", 99)));
   EXPECT_TRUE(before.give_client(later));
   EXPECT_EQ(waiting.line(), "+OK");
@@ -393,9 +394,10 @@
   EXPECT_EQ(next.wait(), 0);
 }
 
-// Clients come all the time, and each gets its answer: neither those that are accepted as a process hands
-// over nor those that nobody has accepted yet are reset. By hand: --gtest_repeat=40, two hundred upgrades.
-TEST(Handover, ResetsNoClientWhileProcessesFollowOneAnother) {
+// Clients connect continuously, and each gets its answer: neither connections that are accepted during a
+// handover nor those that wait to be accepted are reset. Run by hand with --gtest_repeat=40 for two hundred
+// upgrades.
+TEST(Handover, ResetsNoClientDuringRepeatedUpgrades) {
   constexpr int kUpgrades = 5;
   constexpr int kClients = 4;
   Side s;
@@ -403,16 +405,16 @@
   programs.push_back(std::make_unique<Program>(s.config));
   programs.back()->start();
   const uint16_t port = programs.back()->port();
-  std::atomic<bool> over = false;
+  std::atomic<bool> stopping = false;
   std::atomic<int> answered = 0;
   std::atomic<int> unanswered = 0;
   std::vector<std::thread> clients;
   for (int i = 0; i < kClients; ++i) {
     clients.emplace_back([&] {
-      while (!over) {
+      while (!stopping) {
         Socket client = Socket::connect(port);
         ++(ping(client) == "+PONG" ? answered : unanswered);
-        client.reset();  // leaves no port behind that waits
+        client.reset();  // leaves no port in TIME_WAIT
       }
     });
   }
@@ -425,15 +427,14 @@
     before.signal(SIGTERM);
     EXPECT_EQ(before.wait(), 0);
   }
-  over = true;
+  stopping = true;
   for (std::thread& client : clients) client.join();
   EXPECT_EQ(unanswered, 0) << "of " << answered + unanswered;
   EXPECT_GT(answered, kUpgrades);
 }
 
-// ---- A new process is asked before it has opened itself ----
-
-TEST(Handover, GoesOnThroughAProcessThatHadNotOpened) {
+// A successor is asked for a handover before it listens itself.
+TEST(Handover, ForwardsFramesThroughProcessThatHasNotStartedListening) {
   Side s;
   const Folder folder;
   {
@@ -450,7 +451,7 @@
   before.give_call("m-out", 0);
   before.give_listener();
   created.get();
-  Asker last(folder.path);  // is there before the first event of the one in the middle
+  Asker last(folder.path);  // connects before the first event of the process in the middle
   const Socket late = before.give_client();
   middle.run();
   ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
@@ -468,14 +469,14 @@
                                 {"began", true}};
   EXPECT_TRUE(before.handover.send_frame(HandoverFrame::kEnded, ended.dump()));
   EXPECT_EQ(last.next().kind, HandoverFrame::kEnded);
-  EXPECT_EQ(middle.run_out.wait_for(std::chrono::milliseconds(kDeadlineMs)), std::future_status::ready);
+  EXPECT_EQ(middle.loop_end.wait_for(std::chrono::milliseconds(kDeadlineMs)), std::future_status::ready);
 }
 
-// Nor has it opened when operators call: what they tell it holds from its first client on.
-TEST(Handover, HeedsOperatorsBeforeItHasOpened) {
+// Operators call before the relay listens for clients: their commands apply from its first client on.
+TEST(Handover, AppliesOperatorCommandsBeforeListening) {
   Side s;
   s.config["control"] = "127.0.0.1:0";
-  s.discovery.mute();  // it waits for its first word
+  s.discovery.mute();  // the relay waits for discovery's first answer
   const Folder folder;
   Inside relay;
   relay.create(s.config, folder.path);
@@ -508,10 +509,8 @@
   s.host.answer("200");
 }
 
-// ---- What cannot be handed over ----
-
-// The new process would read a journal that lacks what the disk had no room for.
-TEST(Handover, IsPutOffWhileTheJournalIsBehind) {
+// While records wait for disk space, the successor would read a journal that lacks them.
+TEST(Handover, IsRefusedWhileJournalHasUnwrittenRecords) {
   Side s;
   const Folder folder;
   Inside old;
@@ -522,19 +521,20 @@
   client.send(put_bytes("m-1", facts("safe", 99)));
   EXPECT_EQ(client.line(), "+OK");
   {
-    const FullDisk full(100);  // less than a new journal without what is over would take
+    const FullDisk full(100);  // less than a compacted journal would take
     client.send(put_bytes("m-2", facts("safe", 99)));
     EXPECT_EQ(client.line(), "-BUSY 500");
-    EXPECT_EQ(Asker(folder.path).next().kind, 0);  // it is not given the folder
+    EXPECT_EQ(Asker(folder.path).next().kind, 0);  // the folder is not handed stopping
     client.send(put_bytes("m-3", facts("safe", 99)));
-    EXPECT_EQ(client.line(), "-BUSY 500");  // and the old one goes on
+    EXPECT_EQ(client.line(), "-BUSY 500");  // and the predecessor continues
   }
   Asker next(folder.path);
   EXPECT_EQ(next.next().kind, HandoverFrame::kFolder);
 }
 
-// One that ends soon still does, although somebody asked in vain.
-TEST(Handover, StartsNothingThatItsEndWouldCutOff) {
+// A process that is about to exit still does so after an unsuccessful handover request, and starts no call
+// that its end would cut off.
+TEST(Handover, StartsNoCallDuringShutdownAfterAbandonedRequest) {
   Side s;
   s.config["control"] = "127.0.0.1:0";
   s.start();
--- a/tests/relay/system_faults_test.cpp
+++ b/tests/relay/system_faults_test.cpp
@@ -1,6 +1,6 @@
-// What the operating system may do to a relay: its wall clock is stepped, calls are interrupted, shortened or
-// fail for a moment, the disk refuses writes. A relay runs as a process of its own, and every rule of the
-// pages holds.
+// Faults of the operating system: the wall clock is stepped, system calls are interrupted, shortened or fail
+// temporarily, and the disk refuses writes. The relay runs as a process of its own, and all its documented
+// guarantees must hold.
 #include <atomic>
 #include <chrono>
 #include <csignal>
@@ -28,7 +28,8 @@
 
 std::string id_of(const Request& call) { return call.headers.at("x-call-id"); }
 
-// Destination 99 has a host that wants nothing new: what goes there waits until release().
+// A relay under injected faults. Destination 99 has only an endpoint that is leaving, so its messages wait
+// until release().
 struct FaultyMachine {
   SystemFaults faults;
   Host host;
@@ -48,7 +49,7 @@
     host.drop();
     start();
   }
-  nlohmann::json& category(int place) { return config["settings"]["categories"][place]; }
+  nlohmann::json& category(int index) { return config["settings"]["categories"][index]; }
   static std::string facts(const std::string& message_class, int destination, int life_ms = 60'000) {
     return "c=" + message_class + ",d=" + std::to_string(life_ms) +
            ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination);
@@ -63,9 +64,9 @@
 
 constexpr int64_t kSteps[] = {kHourUs, -kHourUs, 30'000'000, -30'000'000};
 
-// The messages' time and the key's window are spans of real time, whatever the wall clock says behind a
-// restart.
-TEST(WallClock, StepChangesNoDeadlineAcrossARestart) {
+// Deadlines of messages and windows of idempotency keys are durations of real time, whatever the wall clock
+// shows after a restart.
+TEST(WallClock, StepLeavesDeadlinesUnchangedAcrossRestart) {
   for (const int64_t step : kSteps) {
     SCOPED_TRACE(step);
     FaultyMachine s;
@@ -84,10 +85,10 @@
   }
 }
 
-TEST(WallClock, StepMovesNoWindowAcrossARestart) {
+TEST(WallClock, StepLeavesKeyWindowUnchangedAcrossRestart) {
   for (const int64_t step : kSteps) {
     SCOPED_TRACE(step);
-    for (const bool inside : {true, false}) {
+    for (const bool within_window : {true, false}) {
       FaultyMachine s;
       s.category(1)["key_ttl_s"] = 3.0;
       s.start();
@@ -96,9 +97,9 @@
       s.faults->wall_clock_step_us = step;
       s.program.kill();
       s.host.drop();
-      if (!inside) std::this_thread::sleep_for(milliseconds(3100));
+      if (!within_window) std::this_thread::sleep_for(milliseconds(3100));
       s.start();
-      if (inside) {
+      if (within_window) {
         EXPECT_EQ(id_of(s.host.next()), "m-keyed");
         s.host.answer("200");
       } else {
@@ -108,8 +109,9 @@
   }
 }
 
-// A key rests behind a call that may still run, through a restart, for its whole pause and no longer.
-TEST(WallClock, StepEndsNoPauseOfAKeyInOrder) {
+// An ordering key pauses behind a call that may still run. The pause lasts its full length, also through a
+// restart, and no longer.
+TEST(WallClock, StepLeavesOrderingKeyPauseUnchangedAcrossRestart) {
   for (const int64_t step : kSteps) {
     SCOPED_TRACE(step);
     FaultyMachine s;
@@ -135,8 +137,8 @@
   }
 }
 
-// A told wait binds the process that takes over.
-TEST(WallClock, StepMovesNoToldWaitInAHandOver) {
+// A wait that an endpoint asked for with Retry-After also binds the successor.
+TEST(WallClock, StepLeavesRetryAfterUnchangedAcrossHandover) {
   for (const int64_t step : kSteps) {
     SCOPED_TRACE(step);
     FaultyMachine s;
@@ -144,7 +146,7 @@
     ASSERT_EQ(s.put("m-1", FaultyMachine::facts("safe", 7)), "+OK");
     EXPECT_EQ(id_of(s.host.next()), "m-1");
     s.host.answer("429", "Retry-After: 2\r\n");
-    const auto told = Clock::now();
+    const auto rejected_at = Clock::now();
     std::this_thread::sleep_for(milliseconds(200));
     s.faults->wall_clock_step_us = step;
     Program next(s.config);
@@ -153,8 +155,8 @@
     next.start();
     s.host.drop();
     EXPECT_EQ(id_of(s.host.next()), "m-1");
-    EXPECT_GE(ms_since(told), 1900);
-    EXPECT_LE(ms_since(told), 4000);
+    EXPECT_GE(ms_since(rejected_at), 1900);
+    EXPECT_LE(ms_since(rejected_at), 4000);
     s.host.answer("200");
   }
 }
@@ -168,19 +170,20 @@
 const Disturbance kDisturbances[] = {{"short", 400, 0}, {"interrupted", 0, 300}, {"both", 300, 200}};
 
 struct DisturbedMachine : FaultyMachine {
-  void start(const Disturbance& how) {
+  void start(const Disturbance& disturbance) {
     FaultyMachine::start();
-    faults->short_per_mille = how.shortened;
-    faults->interrupted_per_mille = how.interrupted;
+    faults->short_per_mille = disturbance.shortened;
+    faults->interrupted_per_mille = disturbance.interrupted;
   }
 };
 
-// Each request is answered within the time that its client waits, and called once; connections are kept.
-TEST(Disturbed, RequestsAreAnsweredAndCalledOnce) {
-  for (const Disturbance& how : kDisturbances) {
-    SCOPED_TRACE(how.name);
+// Each request is answered within the time that its client waits, and its message is sent once; connections
+// are reused.
+TEST(Disturbed, AnswersRequestsInTimeAndSendsEachOnce) {
+  for (const Disturbance& disturbance : kDisturbances) {
+    SCOPED_TRACE(disturbance.name);
     DisturbedMachine s;
-    s.start(how);
+    s.start(disturbance);
     constexpr int kRequests = 60;
     Socket client = s.program.client();
     for (int i = 0; i < kRequests; ++i) {
@@ -198,12 +201,12 @@
   }
 }
 
-// A drain in a long list is heeded a second after it was written, and the watch stays open.
-TEST(Disturbed, ListsAreHeardAtOnce) {
-  for (const Disturbance& how : kDisturbances) {
-    SCOPED_TRACE(how.name);
+// A change in a long list takes effect within a second after it was written, and the watch stays open.
+TEST(Disturbed, AppliesListsInTime) {
+  for (const Disturbance& disturbance : kDisturbances) {
+    SCOPED_TRACE(disturbance.name);
     DisturbedMachine s;
-    s.start(how);
+    s.start(disturbance);
     for (int revision = 2; revision < 8; ++revision) {
       std::vector<nlohmann::json> members;
       for (int i = 0; i < 300; ++i) {
@@ -211,11 +214,11 @@
       }
       const std::string id = "s-" + std::to_string(revision);
       members.push_back(member_json(id, s.host.address(), 100 + revision));
-      const auto told = Clock::now();
+      const auto sent = Clock::now();
       s.discovery.tell(list_json(revision, false, members));
       const std::string what = FaultyMachine::facts("safe", 100 + revision);
       while (s.put(id, what) != "+OK") {
-        ASSERT_LE(ms_since(told), 900) << "not heard of " << id;
+        ASSERT_LE(ms_since(sent), 900) << "the list with " << id << " was not applied";
         std::this_thread::sleep_for(milliseconds(20));
       }
       EXPECT_EQ(id_of(s.host.next()), id);
@@ -225,12 +228,12 @@
   }
 }
 
-TEST(Disturbed, OperatorsAndNoticesAreServedInTime) {
-  for (const Disturbance& how : kDisturbances) {
-    SCOPED_TRACE(how.name);
+TEST(Disturbed, ServesOperatorsAndNoticesInTime) {
+  for (const Disturbance& disturbance : kDisturbances) {
+    SCOPED_TRACE(disturbance.name);
     DisturbedMachine s;
     s.config["control"] = "127.0.0.1:0";
-    s.start(how);
+    s.start(disturbance);
     for (int i = 0; i < 20; ++i) {
       const auto asked = Clock::now();
       EXPECT_EQ(s.program.operate("GET", "/v1/metrics").first, 200);
@@ -243,9 +246,9 @@
   }
 }
 
-// The process is held up for 0.15 s between the look at its clock and the write: no repeat comes to its host
-// behind the window.
-TEST(HeldUp, BeforeAWriteSendsNothingBehindItsWindow) {
+// The process is delayed for 0.15 s between reading its clock and the write: no repeat reaches its endpoint
+// after the key's window.
+TEST(SendDelay, SendsNoRepeatAfterKeyWindow) {
   for (int i = 0; i < 8; ++i) {
     FaultyMachine s;
     s.category(1)["key_ttl_s"] = 1.0;
@@ -271,9 +274,9 @@
   }
 }
 
-// A connection that is broken behind a call's last byte may have run it, however that shows; none is used
-// again.
-TEST(BrokenConnection, MayHaveRunItsCallHoweverThatShows) {
+// If a connection breaks after a call's last byte, the call may have run, whichever error reports the break.
+// The connection is not used again.
+TEST(BrokenConnection, CountsCallAsPossiblyRunForAnyError) {
   for (const int code : {ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE}) {
     FaultyMachine s;
     s.start();
@@ -291,8 +294,8 @@
   }
 }
 
-// Sockets may be refused for a moment: the process starts, and operators and clients are served.
-TEST(Shortage, DelaysAStartAndEndsNone) {
+// Sockets cannot be created for a short time: the process starts, and operators and clients are served.
+TEST(Shortage, OfSocketsDelaysStartButDoesNotPreventIt) {
   for (const int code : {ENFILE, EMFILE, ENOBUFS, ENOMEM}) {
     FaultyMachine s;
     s.config["control"] = "127.0.0.1:0";
@@ -306,8 +309,8 @@
   }
 }
 
-// No call was made: a message that may be tried once only has that try left, and is tried soon.
-TEST(Shortage, OfConnectionsCostsNoAttempt) {
+// A failed connect is no attempt: a message with a limit of one attempt still has it, and is sent soon.
+TEST(Shortage, OfConnectionsDoesNotCountAsAttempt) {
   for (const int code : {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR, ECONNABORTED}) {
     FaultyMachine s;
     s.config["settings"]["bounds"]["max_attempts"] = 1;
@@ -320,9 +323,9 @@
   }
 }
 
-// Signals in series, the second one inside the time of the first: the message that is out ends, and so does
-// the process.
-TEST(Signals, InSeriesEndTheProcessOnceAndWell) {
+// Several signals, each while the one before is still being handled: the message that is being sent is
+// finished, and the process exits cleanly.
+TEST(Signals, RepeatedSignalsEndProcessCleanly) {
   for (const std::vector<int>& signals :
        {std::vector{SIGTERM, SIGTERM}, {SIGHUP, SIGTERM, SIGHUP}, {SIGTERM, SIGHUP, SIGINT, SIGTERM}}) {
     FaultyMachine s;
@@ -336,7 +339,7 @@
       std::this_thread::sleep_for(milliseconds(100));
     }
     ASSERT_TRUE(client.send(put_bytes("m-2", FaultyMachine::facts("unsafe", 99, 500))));
-    EXPECT_EQ(client.line(), "+OK");  // the connection is still open: what comes on it is served
+    EXPECT_EQ(client.line(), "+OK");  // the connection is still open, so its requests are served
     s.host.answer("200");
     EXPECT_EQ(s.discovery.notice().at("id"), "m-2");
     client.close();
@@ -344,17 +347,17 @@
   }
 }
 
-// Clients send on every connection that stays open, up to the end of the process: what it has taken on it has
-// also answered. The client has always more to send than was answered: a connection without a request would
-// be closed 0.5 s after the signal.
-TEST(Signals, AnEndAnswersAllThatWasRead) {
-  constexpr int kMostUnanswered = 400;
+// A client sends on its connection up to the end of the process: every message that the relay accepted must
+// also have been answered. The client always has more requests sent than answered, because a connection
+// without a request would be closed 0.5 s after the signal.
+TEST(Signals, ShutdownAnswersAllAcceptedMessages) {
+  constexpr int kMaxUnanswered = 400;
   FaultyMachine s;
   s.config["settings"]["bounds"]["open_cap"] = 100'000;
   s.start();
   std::atomic<int> sent = 0;
   std::atomic<int> answered = 0;
-  std::set<std::string> taken_on;
+  std::set<std::string> accepted;
   Socket client = s.program.client();
   std::thread sender([&] {
     std::string batch;
@@ -365,14 +368,14 @@
                            FaultyMachine::facts("safe", 99, 4000));
       }
       open = client.send(batch);
-      while (open && 20 * sent - answered >= kMostUnanswered) std::this_thread::sleep_for(milliseconds(1));
+      while (open && 20 * sent - answered >= kMaxUnanswered) std::this_thread::sleep_for(milliseconds(1));
     }
   });
   std::this_thread::sleep_for(milliseconds(100));
   s.program.signal(SIGTERM);
   int order = 0;
   for (std::string line = client.line(); !line.empty(); line = client.line(), ++order) {
-    if (line == "+OK") taken_on.insert("m-" + std::to_string(order / 20) + "-" + std::to_string(order % 20));
+    if (line == "+OK") accepted.insert("m-" + std::to_string(order / 20) + "-" + std::to_string(order % 20));
     answered = order + 1;
   }
   answered = std::numeric_limits<int>::max();
@@ -380,14 +383,14 @@
   client.close();
   sender.join();
   const relay::Journal journal(s.program.state(), 3'000'000);
-  int unheard = 0;
-  for (const auto& entry : journal.recovered()) unheard += !taken_on.contains(entry.message.id);
-  EXPECT_EQ(unheard, 0) << "of " << journal.recovered().size();
+  int unanswered = 0;
+  for (const auto& entry : journal.recovered()) unanswered += !accepted.contains(entry.message.id);
+  EXPECT_EQ(unanswered, 0) << "of " << journal.recovered().size();
   EXPECT_GT(order, 1000);
 }
 
-// Behind another boot the monotonic clock began anew, and the wall clock is all there is to go by.
-TEST(DurableClock, GoesByTheWallClockBehindAnotherBoot) {
+// After a reboot the monotonic clock starts again, so only the wall clock is left to go by.
+TEST(DurableClock, UsesWallClockAfterReboot) {
   using relay::DurableClock;
   const DurableClock before({"boot-1", 5000, 1'005'000}, "");
   EXPECT_EQ(before.from_steady(6000), 1'006'000);
@@ -396,13 +399,13 @@
   EXPECT_EQ(stepped.from_steady(7000), 1'007'000);
   const DurableClock rebooted({"boot-2", 100, 1'050'000}, stepped.text());
   EXPECT_EQ(rebooted.from_steady(100), 1'050'000);
-  const DurableClock untold({"", 100, 2'000'100}, rebooted.text());  // the platform names no boot
-  EXPECT_EQ(untold.from_steady(100), 2'000'100);
-  EXPECT_EQ(untold.text(), "");
+  const DurableClock unknown_boot({"", 100, 2'000'100}, rebooted.text());  // the platform gives no boot id
+  EXPECT_EQ(unknown_boot.from_steady(100), 2'000'100);
+  EXPECT_EQ(unknown_boot.text(), "");
 }
 
-// Requests that stand in the listener's queue are answered, though accepts fail for a moment.
-TEST(Shortage, OfAcceptsLosesNoRequestAtTheEnd) {
+// Requests in the listener's queue are answered at shutdown although accepts fail for a short time.
+TEST(Shortage, OfAcceptsLosesNoRequestAtShutdown) {
   for (const int code : {ENFILE, EMFILE, ENOBUFS, EPROTO, ECONNABORTED, EINTR, ENETDOWN}) {
     FaultyMachine s;
     s.start();
@@ -420,9 +423,9 @@
   }
 }
 
-// A message that was given back is told so only once that is on the disk: else the next process, which knows
-// nothing of it, calls it beside the copy that its client hands in again.
-TEST(FullDiskAtAnEnd, TellsNoEndThatAKillCanUndo) {
+// The relay reports that a message was returned only after that is on disk. Otherwise the next process, which
+// does not know it, would send the message besides the copy that its client submits again.
+TEST(FailingDisk, ReportsNoFinalAnswerBeforeItIsStored) {
   for (const int code : {ENOSPC, EIO}) {
     FaultyMachine s;
     s.config["settings"]["family_info"]["calls_out"] = 1;
@@ -431,7 +434,8 @@
     EXPECT_EQ(id_of(s.host.next()), "m-out");
     ASSERT_EQ(s.put("m-untried", FaultyMachine::facts("unsafe", 7, 20'000)), "+OK");
     s.faults->file_errno = code;
-    s.host.answer("429", "Retry-After: 30\r\n");  // outlasts the other message: it is given back
+    s.host.answer(
+        "429", "Retry-After: 30\r\n");  // longer than the other message's deadline, so that one is returned
     std::this_thread::sleep_for(milliseconds(600));
     s.program.kill();
     s.faults->file_errno = 0;
@@ -444,16 +448,16 @@
     }
     ASSERT_TRUE(called.contains("m-untried"));
     ASSERT_EQ(s.put("m-later", FaultyMachine::facts("safe", 99, 200)), "+OK");
-    EXPECT_EQ(s.discovery.notice().at("id"), "m-later");  // the first that was told of at all
+    EXPECT_EQ(s.discovery.notice().at("id"), "m-later");  // the first notice of all
   }
 }
 
-// A start on a disk that refuses writes, behind a kill in the middle of one: what is there is kept, and tried
-// once it can be.
-TEST(DiskAtAStart, EndsNoStartAndLosesNothing) {
+// A start on a disk that refuses writes, after a kill in the middle of a write: stored messages are kept and
+// sent as soon as possible.
+TEST(FailingDisk, StartsAndLosesNoMessage) {
   for (const int code : {ENOSPC, EIO}) {
     FaultyMachine s;
-    s.config["settings"]["family_info"]["calls_out"] = 1;  // the host takes one call at a time
+    s.config["settings"]["family_info"]["calls_out"] = 1;  // one call at a time
     s.start();
     ASSERT_EQ(s.put("m-1", FaultyMachine::facts("unsafe", 99)), "+OK");
     s.program.kill();
@@ -474,26 +478,26 @@
   }
 }
 
-// Files that cannot be opened for a moment are not taken for files that are empty.
-TEST(DiskAtAStart, WaitsForFilesThatCannotBeOpened) {
-  for (int place = 0; place < 5; ++place) {
+// Files that cannot be opened temporarily are not treated as empty.
+TEST(FailingDisk, WaitsForFilesThatCannotBeOpened) {
+  for (int index = 0; index < 5; ++index) {
     FaultyMachine s;
     s.start();
     ASSERT_EQ(s.put("m-1", FaultyMachine::facts("unsafe", 99)), "+OK");
     s.program.kill();
     s.faults->open_errno = ENFILE;
-    s.faults->opens_before_failure = place;
+    s.faults->opens_before_failure = index;
     s.faults->open_failures = 1;
     s.start();
     s.release();
-    EXPECT_EQ(id_of(s.host.next()), "m-1") << place;
+    EXPECT_EQ(id_of(s.host.next()), "m-1") << index;
     s.host.answer("200");
   }
 }
 
-// With the disk gone for good each message still has its end in time, and none that a client may take as a
-// promise.
-TEST(FullDiskAtAnEnd, StillTellsItInTime) {
+// With a disk that stays unusable each message still gets its final answer in time, and none that a client
+// may rely on.
+TEST(FailingDisk, ReportsFinalAnswerInTimeWhenDiskStaysUnusable) {
   FaultyMachine s;
   s.start();
   const auto put = Clock::now();
--- a/tests/support/handover_peers.h
+++ b/tests/support/handover_peers.h
@@ -1,5 +1,5 @@
-// A new version under load, in tests: the process before and the process after, each played by the test with
-// the program's own half of the protocol, so that it decides what comes when.
+// Peers for handover tests. The test plays the predecessor or the successor with the relay's own half of the
+// handover protocol, so that it decides which frame is sent when.
 #pragma once
 
 #include <fcntl.h>
@@ -39,7 +39,7 @@
   nlohmann::json config =
       config_json(discovery.address(),
                   {member_json("s-1", host.address(), 7), member_json("s-0", host.address(), 99, "leaving")});
-  std::optional<Program> program;  // the old one, or the only one
+  std::optional<Program> program;  // the predecessor, or the only process
   std::optional<Program> next;
 
   void start() {
@@ -53,7 +53,7 @@
   }
 };
 
-// The process before, played by the test: what it gives it gives when the test says so.
+// A predecessor that the test plays: it sends each frame when the test calls for it.
 struct Before {
   boost::asio::io_context io;
   Handover handover;
@@ -79,8 +79,8 @@
     EXPECT_TRUE(handover.send_frame(HandoverFrame::kEnded, ended.dump()));
   }
   void give_listener() { EXPECT_TRUE(handover.send_frame(HandoverFrame::kListener, "", listener.fd())); }
-  // A client's connection that this process has accepted: the client's end, and its own. It does not come by
-  // the listener that is handed over: there the process after accepts too.
+  // Returns a connection that this process has accepted: the client's end and its own. It uses another
+  // listener than the one that is handed over, as the successor accepts from that one too.
   std::pair<Socket, Socket> accept_client() const {
     Socket client = Socket::connect(own_listener_.port());
     Socket accepted = own_listener_.accept();
@@ -92,7 +92,7 @@
         {"since", relay::steady_now()}, {"came", relay::steady_now()}, {"began", 0}, {"spoke", true}};
     return handover.send_frame(HandoverFrame::kClient, state.dump() + "\n", accepted.fd());
   }
-  // One that was connected to it; its other end.
+  // Hands over a client's connection and returns the client's end.
   Socket give_client() {
     auto [client, accepted] = accept_client();
     EXPECT_TRUE(give_client(accepted));
@@ -103,7 +103,7 @@
   Socket own_listener_ = Socket::listen();
 };
 
-// Starts while the test plays the process before it.
+// Starts the program on another thread, while the test plays its predecessor.
 inline std::future<void> begin(Program& program) {
   return std::async(std::launch::async, [&program] { program.start(); });
 }
@@ -113,7 +113,7 @@
   return client.line();
 }
 
-// Asks as a new process does, and takes what it is given.
+// A successor that the test plays: it asks for the handover and receives the frames.
 class Asker {
  public:
   explicit Asker(const std::filesystem::path& folder) {
@@ -125,12 +125,12 @@
     address.sun_family = AF_UNIX;
     name.copy(address.sun_path + 1, sizeof address.sun_path - 1);
     socket_ = Socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
-    const timeval most{kDeadlineMs / 1000, 0};
-    ::setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
+    const timeval timeout{kDeadlineMs / 1000, 0};
+    ::setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     const auto size = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + 1 + name.size());
     EXPECT_EQ(::connect(socket_.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
   }
-  // Kind 0: the other one is gone, or says nothing.
+  // Returns the next frame; its kind is 0 if the predecessor is gone or sent nothing before the deadline.
   HandoverFrame next() {
     std::string bytes(400'000, '\0');
     iovec part{bytes.data(), bytes.size()};
--- a/tests/support/inside.h
+++ b/tests/support/inside.h
@@ -1,4 +1,4 @@
-// The relay inside the test's own process: where its events have to wait, or its disk is full.
+// Runs the relay in the test's own process, for tests that delay its events or fill its disk.
 #pragma once
 
 #include <sys/resource.h>
@@ -20,18 +20,18 @@
   boost::asio::io_context io;
   std::optional<relay::Relay> relay;
   std::promise<uint16_t> port;
-  std::future<void> run_out;  // its event loop has ended
+  std::future<void> loop_end;  // ready when the event loop has ended
 
   void create(const nlohmann::json& config, const std::filesystem::path& folder) {
     relay.emplace(io, relay::parse_config(config.dump(), folder.string()),
                   [this](const auto& address) { port.set_value(address.port()); });
   }
   void run() {
-    run_out = std::async(std::launch::async, [this] { io.run(); });
+    loop_end = std::async(std::launch::async, [this] { io.run(); });
   }
   ~Inside() {
     io.stop();
-    if (run_out.valid()) run_out.wait();
+    if (loop_end.valid()) loop_end.wait();
   }
 };
 
@@ -44,19 +44,19 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-// While it stands the process's files cannot grow beyond a size.
+// Limits the size of files that the process writes, until it is destroyed.
 class FullDisk {
  public:
   explicit FullDisk(size_t size) {
     std::signal(SIGXFSZ, SIG_IGN);
-    ::getrlimit(RLIMIT_FSIZE, &before_);
-    const rlimit limit{size, before_.rlim_max};
+    ::getrlimit(RLIMIT_FSIZE, &previous_limit_);
+    const rlimit limit{size, previous_limit_.rlim_max};
     ::setrlimit(RLIMIT_FSIZE, &limit);
   }
-  ~FullDisk() { ::setrlimit(RLIMIT_FSIZE, &before_); }
+  ~FullDisk() { ::setrlimit(RLIMIT_FSIZE, &previous_limit_); }
 
  private:
-  rlimit before_{};
+  rlimit previous_limit_{};
 };
 
 }  // namespace turntally::testing
--- a/tests/support/peers.cpp
+++ b/tests/support/peers.cpp
@@ -138,7 +138,7 @@
 
 Discovery::Discovery() {
   acceptor_ = std::thread([this] {
-    while (!over_) {
+    while (!stopping_) {
       if (!readable(listener_.fd(), 50)) continue;
       threads_.emplace_back(
           [this, connection = listener_.accept()]() mutable { serve(std::move(connection)); });
@@ -147,7 +147,7 @@
 }
 
 Discovery::~Discovery() {
-  over_ = true;
+  stopping_ = true;
   acceptor_.join();
   for (std::thread& thread : threads_) thread.join();
 }
@@ -158,7 +158,7 @@
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     return connection.send(size + text + "\r\n");
   };
-  while (!over_) {
+  while (!stopping_) {
     if (!readable(connection.fd(), 50)) continue;
     const auto request = read_request(connection);
     if (!request) return;
@@ -167,17 +167,17 @@
       connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       size_t sent = 0;
       const int number = ++watches_;
-      while (!over_ && !readable(connection.fd(), 50)) {
+      while (!stopping_ && !readable(connection.fd(), 50)) {
         std::unique_lock lock(mutex_);
         if (number <= hushed_) continue;
-        if (!chunk(sent < told_.size() ? told_[sent++] + "\n" : "\n")) return;
+        if (!chunk(sent < lists_.size() ? lists_[sent++] + "\n" : "\n")) return;
       }
       return;
     }
     if (swallow_ > 0) {
       --swallow_;
-      while (!over_ && !readable(connection.fd(), 50)) continue;
-      return;  // the relay has left it
+      while (!stopping_ && !readable(connection.fd(), 50)) continue;
+      return;  // the relay has closed the connection or sent more
     }
     if (refuse_ > 0) {
       --refuse_;
@@ -201,7 +201,7 @@
 
 void Discovery::tell(const std::string& text) {
   const std::lock_guard lock(mutex_);
-  told_.push_back(text);
+  lists_.push_back(text);
 }
 
 nlohmann::json Discovery::notice() {
@@ -325,20 +325,20 @@
 
 void Program::start(int descriptors) {
   launch(descriptors);
-  const auto tells = [](const std::string& text, const std::string& event) {
+  const auto is_event = [](const std::string& text, const std::string& event) {
     return text.find(" event=" + event + " ") != std::string::npos;
   };
   std::string line = log_.line();
-  for (; !line.empty() && !tells(line, "listening"); line = log_.line()) {
-    if (tells(line, "operators")) {
+  for (; !line.empty() && !is_event(line, "listening"); line = log_.line()) {
+    if (is_event(line, "operators")) {
       control_port_ = static_cast<uint16_t>(std::stoi(line.substr(line.rfind(':') + 1)));
     } else {
       lines_.push_back(line);
     }
   }
-  ASSERT_TRUE(tells(line, "listening")) << line;
+  ASSERT_TRUE(is_event(line, "listening")) << line;
   port_ = static_cast<uint16_t>(std::stoi(line.substr(line.rfind(':') + 1)));
-  drain_ = std::thread([this] {  // so that a full pipe never stops the program
+  log_reader_ = std::thread([this] {  // a full pipe would block the program
     char bytes[4096];
     std::string text;
     for (ssize_t got = 0; (got = ::read(log_.fd(), bytes, sizeof bytes)) > 0;) {
@@ -382,7 +382,7 @@
   int status = 0;
   ::waitpid(child_, &status, 0);
   child_ = -1;
-  drain_.join();
+  log_reader_.join();
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
--- a/tests/support/peers.h
+++ b/tests/support/peers.h
@@ -1,5 +1,5 @@
-// The relay's neighbours, played by a test over loopback sockets: a client, a host, discovery, and the
-// program itself as a child process. Each wait is for an event, with a deadline that only a failure reaches.
+// Peers of a relay under test over loopback sockets (a client, an endpoint's host and discovery), and the
+// relay itself as a child process. Each wait is for an event, with a deadline that only a failure reaches.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -41,12 +41,12 @@
   int fd() const { return fd_; }
   uint16_t port() const;
   void close();
-  void reset();  // the peer sees a reset, not an end
+  void reset();  // closes so that the peer sees a reset instead of an end of stream
 
   bool send(const std::string& bytes) const;
-  std::string line();                 // without its end; empty at the end of the stream
+  std::string line();                 // without its line end; empty at the end of the stream
   std::string exactly(size_t count);  // shorter at the end of the stream
-  bool ended();                       // waits for the peer's close; false if bytes come, or nothing does
+  bool ended();  // waits for the peer's close; false if bytes arrive or the deadline passes
 
  private:
   bool fill();
@@ -63,16 +63,18 @@
 
 std::optional<Request> read_request(Socket& socket);
 
-// Serves one connection at a time, in the test's own thread.
+// An endpoint's HTTP server. It serves one connection at a time, on the test's own thread.
 class Host {
  public:
   uint16_t port() const { return listener_.port(); }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  Request next();  // the next call, on the connection that is open or on a new one
+  Request next();  // the next call, on the open connection or on a new one
   void answer(const std::string& status, const std::string& headers = "");
   void raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
-  Socket beside() { return listener_.accept(); }  // another connection, while the first one's call waits
-  bool left() { return connection_.ended(); }     // waits until the caller has closed
+  Socket beside() {
+    return listener_.accept();
+  }  // accepts another connection, while the call on the first waits
+  bool left() { return connection_.ended(); }  // waits until the caller has closed
   void drop() { connection_.close(); }
   void reset() { connection_.reset(); }
   int connections() const { return connections_; }
@@ -83,28 +85,29 @@
   int connections_ = 0;
 };
 
+// Discovery as the relay sees it: serves watches of the list and takes notices, on threads of its own.
 class Discovery {
  public:
   Discovery();
   ~Discovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-  void tell(const nlohmann::json& list);       // to the watches that are open and those to come
-  void tell(const std::string& text);          // the same, as it is to be written
-  void hush() { hushed_ = watches_.load(); }   // the watches that are open say nothing more, and stay open
-  int watches() const { return watches_; }     // that were opened so far
-  nlohmann::json notice();                     // the next one that was answered 204
-  void refuse(int count) { refuse_ = count; }  // so many posts are answered 503 first
+  void tell(const nlohmann::json& list);       // sends a list to all present and future watches
+  void tell(const std::string& text);          // the same with the exact text of the line
+  void hush() { hushed_ = watches_.load(); }   // open watches stay open but send nothing more
+  int watches() const { return watches_; }     // number of watches opened so far
+  nlohmann::json notice();                     // the next notice that was answered 204; null at the deadline
+  void refuse(int count) { refuse_ = count; }  // the next `count` posts are answered 503
   void swallow(int count) {
     swallow_ = count;
-  }                              // so many are read and get no answer, with the connection open
-  void mute() { mute_ = true; }  // watches get no answer, as while discovery is down
+  }                              // the next `count` posts are read but not answered, with the connection open
+  void mute() { mute_ = true; }  // new watches get no answer, as while discovery is down
   int refused() const { return refused_; }
 
  private:
   void serve(Socket connection);
 
   Socket listener_ = Socket::listen();
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::atomic<bool> mute_ = false;
   std::atomic<int> watches_ = 0;
   std::atomic<int> hushed_ = 0;
@@ -113,7 +116,7 @@
   std::atomic<int> swallow_ = 0;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<std::string> told_;
+  std::vector<std::string> lists_;
   std::vector<nlohmann::json> notices_;
   std::vector<std::thread> threads_;
   std::thread acceptor_;
@@ -123,33 +126,35 @@
                            const std::string& phase = "active");
 nlohmann::json list_json(int revision, bool complete, std::vector<nlohmann::json> members);
 
-// Class names: safe, keyed, unsafe.
+// Returns a relay configuration with the classes safe, keyed and unsafe. `known` are the members of its list.
 nlohmann::json config_json(const std::string& discovery, std::vector<nlohmann::json> known);
 
+// A relay process with a configuration and a state folder of its own.
 class Program {
  public:
   explicit Program(nlohmann::json config);
   ~Program();
 
   void start(int descriptors = 0);
-  bool start_refused();  // it ends by itself, with a failure, and says why in one line
-  void succeed(const Program& before) { state_ = before.state(); }    // shares its folder
+  bool start_refused();  // true if it exits with status 1 after one line that says why
+  void succeed(const Program& before) { state_ = before.state(); }    // shares the predecessor's state folder
   void log_at(const std::string& level) { level_ = level; }           // from the next start on
   void meet(const SystemFaults& faults) { faults_ = faults.file(); }  // from the next start on
-  void configure(const std::string& text);  // replaces the file; it is read at a start or on SIGHUP
+  void configure(
+      const std::string& text);  // replaces the configuration file, which is read at start and on SIGHUP
   void signal(int number);
   pid_t pid() const { return child_; }
-  int wait();  // exit status; minus the signal that ended it
+  int wait();  // exit status, or minus the signal that ended the process
   void kill();
   std::filesystem::path state() const { return state_; }
   Socket client() const { return Socket::connect(port_); }
   uint16_t port() const { return port_; }
-  // One call on the operators' address, as it stands in the configuration; the status, and what came with it.
+  // Makes one call to the control address of the configuration; returns the status and the body.
   std::pair<int, std::string> operate(const std::string& method, const std::string& target,
                                       const std::string& fields = "") const;
   Socket operators() const { return Socket::connect(control_port_); }
   uint16_t operators_port() const { return control_port_; }
-  // Waits for an event's line, behind those asked for before; empty where none comes.
+  // Waits for the next log line of an event, behind the lines already returned; empty at the deadline.
   std::string log_line(const std::string& event);
   bool logged(const std::string& event) { return !log_line(event).empty(); }
 
@@ -159,15 +164,15 @@
   std::filesystem::path folder_;
   std::filesystem::path state_;
   std::string level_ = "info";
-  std::string faults_;  // of the operating system: the file that tells them; empty: none
+  std::string faults_;  // file of the system faults to inject; empty: none
   pid_t child_ = -1;
   uint16_t port_ = 0;
-  uint16_t control_port_ = 0;  // 0: the configuration has none
+  uint16_t control_port_ = 0;  // 0: no control address is configured
   Socket log_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::deque<std::string> lines_;  // of its log, not asked for yet
-  std::thread drain_;
+  std::deque<std::string> lines_;  // log lines that log_line() has not consumed yet
+  std::thread log_reader_;
 };
 
 std::string put_bytes(const std::string& id, const std::string& facts, const std::string& body = "body");
--- a/tests/support/system_faults.cpp
+++ b/tests/support/system_faults.cpp
@@ -1,4 +1,5 @@
-// The library that is loaded into a relay under test, ahead of the C library: see system_faults.h.
+// The library that is preloaded into a relay under test and overrides functions of the C library; see
+// system_faults.h.
 #include "tests/support/system_faults.h"
 
 #include <dlfcn.h>
@@ -71,8 +72,8 @@
 }
 
 bool open_fails(const char* path) {
-  const bool kept = std::strstr(path, "/state/") != nullptr;
-  if (!kept || knobs() == nullptr ||
+  const bool in_state_folder = std::strstr(path, "/state/") != nullptr;
+  if (!in_state_folder || knobs() == nullptr ||
       (knobs()->opens_before_failure > 0 && knobs()->opens_before_failure-- > 0))
     return false;
   return fails(knobs()->open_failures, knobs()->open_errno);
@@ -94,7 +95,8 @@
   return shorter ? std::max<size_t>(1, size / 3) : size;
 }
 
-// The message with its first buffer alone, and a part of that.
+// Returns the message shortened to a part of its first non-empty buffer, or unchanged if no fault is due.
+// `first` is storage for that buffer and must outlive the result.
 msghdr shortened(int fd, const msghdr* message, iovec& first) {
   msghdr out = *message;
   size_t used = 0;
@@ -152,8 +154,8 @@
   return REAL(sendmsg)(fd, &asked, flags);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
-  return interrupted() ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
+  return interrupted() ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int poll(pollfd* waiting, nfds_t count, int timeout) {
--- a/tests/support/transcript.cpp
+++ b/tests/support/transcript.cpp
@@ -18,8 +18,8 @@
 namespace turntally::testing {
 namespace {
 
-constexpr size_t kMostLine = 2000;  // nobody reads further
-constexpr size_t kAround = 3;       // lines of a difference's surroundings
+constexpr size_t kMaxLineBytes = 2000;  // longer lines are cut: a reader gains nothing from the rest
+constexpr size_t kContextLines = 3;     // unchanged lines around a difference
 
 std::vector<std::string> lines_of(const std::string& text) {
   std::vector<std::string> out;
@@ -33,7 +33,7 @@
   std::string line;
 };
 
-// By the longest common subsequence: transcripts are short.
+// Uses the longest common subsequence; its quadratic cost is small, as transcripts are short.
 std::vector<Step> steps_between(const std::vector<std::string>& a, const std::vector<std::string>& b) {
   std::vector<std::vector<size_t>> common(a.size() + 1, std::vector<size_t>(b.size() + 1));
   for (size_t i = a.size(); i-- > 0;) {
@@ -65,32 +65,32 @@
   size_t old_line = 1;
   size_t new_line = 1;
   for (size_t at = 0; at < steps.size();) {
-    // A hunk: from here on while the next change is near.
+    // Collects a hunk: it goes on while the next change is near enough to share context lines.
     const auto changed = [](const Step& step) { return step.mark != ' '; };
     const auto first = static_cast<size_t>(
         std::find_if(steps.begin() + static_cast<ptrdiff_t>(at), steps.end(), changed) - steps.begin());
     if (first == steps.size()) break;
-    const size_t begin = std::max(at, first < kAround ? 0 : first - kAround);
+    const size_t begin = std::max(at, first < kContextLines ? 0 : first - kContextLines);
     size_t end = first;
-    for (size_t i = first; i < steps.size() && i <= end + 2 * kAround; ++i)
+    for (size_t i = first; i < steps.size() && i <= end + 2 * kContextLines; ++i)
       if (changed(steps[i])) end = i;
-    end = std::min(steps.size(), end + kAround + 1);
+    end = std::min(steps.size(), end + kContextLines + 1);
     old_line += begin - at;
     new_line += begin - at;
     std::string body;
-    size_t olds = 0;
-    size_t news = 0;
+    size_t old_count = 0;
+    size_t new_count = 0;
     for (size_t i = begin; i < end; ++i) {
       body += steps[i].mark + steps[i].line + "\n";
-      olds += steps[i].mark != '+';
-      news += steps[i].mark != '-';
+      old_count += steps[i].mark != '+';
+      new_count += steps[i].mark != '-';
     }
     std::ostringstream head;
-    head << "@@ -" << (olds == 0 ? old_line - 1 : old_line) << "," << olds << " +"
-         << (news == 0 ? new_line - 1 : new_line) << "," << news << " @@\n";
+    head << "@@ -" << (old_count == 0 ? old_line - 1 : old_line) << "," << old_count << " +"
+         << (new_count == 0 ? new_line - 1 : new_line) << "," << new_count << " @@\n";
     out += head.str() + body;
-    old_line += olds;
-    new_line += news;
+    old_line += old_count;
+    new_line += new_count;
     at = end;
   }
   if (out.empty() && before != after) return "@@ the last line's end differs @@\n";
@@ -113,7 +113,7 @@
   rules_.push_back({kind, std::regex(pattern), numbered});
 }
 
-// Numbers are given in the order of the text, whatever the order of the rules.
+// Placeholders are numbered in the order of the text, whatever the order of the rules.
 std::string Transcript::placed(const std::string& text) {
   struct Found {
     size_t length = 0;
@@ -129,7 +129,7 @@
   std::string out;
   size_t at = 0;
   for (const auto& [begin, what] : found) {
-    if (begin < at) continue;  // within another
+    if (begin < at) continue;  // overlaps the previous match
     auto& seen = seen_[what.rule->kind];
     const size_t number = seen.try_emplace(text.substr(begin, what.length), seen.size() + 1).first->second;
     out += text.substr(at, begin - at) + "<" + what.rule->kind;
@@ -147,8 +147,8 @@
                       const std::string& what) {
   text_ += "\n" + from + " -> " + to + ": " + placed(head) + "\n";
   for (const std::string& line : lines_of(placed(what))) {
-    text_ += (line.empty() ? "" : "    ") + line.substr(0, kMostLine) +
-             (line.size() > kMostLine ? " ...\n" : "\n");
+    text_ += (line.empty() ? "" : "    ") + line.substr(0, kMaxLineBytes) +
+             (line.size() > kMaxLineBytes ? " ...\n" : "\n");
   }
 }
 
@@ -156,7 +156,7 @@
 
 std::string Transcript::judge() const {
   std::ifstream in(path_, std::ios::binary);
-  const bool there = in.good();
+  const bool exists = in.good();
   const std::string approved{std::istreambuf_iterator<char>(in), {}};
   const char* const approve = std::getenv("TURNTALLY_APPROVE");
   if (approve != nullptr && std::string(approve) == "1") {
@@ -165,8 +165,8 @@
            "; a run with TURNTALLY_APPROVE=1 fails in any case, run again without it\n" +
            unified(approved, text_);
   }
-  if (there && approved == text_) return "";
-  return (there ? "not as it was approved in " : "nothing is approved in ") + path_ + ":\n" +
+  if (exists && approved == text_) return "";
+  return (exists ? "not as it was approved in " : "nothing is approved in ") + path_ + ":\n" +
          unified(approved, text_) +
          "If this is how it should be, run this test again with TURNTALLY_APPROVE=1, read the file's change, "
          "and "
--- a/tests/support/transcript.h
+++ b/tests/support/transcript.h
@@ -1,6 +1,8 @@
-// Whole exchanges of several processes as a text that a person reads and approves: who said what to whom, in
-// order, with what differs between runs in its place (<id1>, <address2>, …; the same value has the same place
-// throughout). tests/transcripts/NAME.txt is what was approved; anything else fails, with the difference.
+// Records the exchanges between several processes as a text that a person reads and approves: sender,
+// receiver and content, in order. Values that differ between runs are replaced by placeholders (<id1>,
+// <address2>, …; the same value has the same placeholder throughout). The approved text is NAME.txt in the
+// folder of transcripts (tests/cli/transcripts by default); a check of any other text fails and shows the
+// difference.
 #pragma once
 
 #include <sys/types.h>
@@ -15,27 +17,28 @@
 
 class Transcript {
  public:
-  // `folder`: of the approved ones; another than the default for tests of this class.
+  // `folder` holds the approved transcripts; only tests of this class pass another than the default.
   explicit Transcript(std::string name, std::string folder = TRANSCRIPTS);
 
-  // Further values to put in their place: what the pattern's one group holds. Addresses, ids of 16 hex
-  // digits, revisions, times and spans of time in the log are known. Spans differ or not as they like: no
-  // numbers there.
+  // Adds a rule: text that the pattern's one group matches is replaced by a placeholder of this kind. Rules
+  // for addresses, ids of 16 hex digits, revisions, and times and durations of the log exist already. Two
+  // durations may be equal by chance, so their placeholders are not numbered.
   void place(const std::string& kind, const std::string& pattern, bool numbered = true);
 
-  void plain() { rules_.clear(); }  // nothing at all
+  void plain() { rules_.clear(); }  // removes all rules: nothing is replaced
 
   void title(const std::string& text);
-  void note(const std::string& text);  // what happens beside the exchange
-  // Lines of `what` stand below, each further in.
+  void note(const std::string& text);  // an event beside the exchange
+  // Adds a message; the lines of `what` follow `head`, indented.
   void said(const std::string& from, const std::string& to, const std::string& head,
             const std::string& what = "");
 
   std::string text() const;
-  // Empty where the text is the approved one; else why not. With TURNTALLY_APPROVE=1 it writes the text in
-  // the approved one's place, and says so: a run that approves never passes.
+  // Returns an empty string if the text is the approved one, otherwise the difference. With
+  // TURNTALLY_APPROVE=1 it replaces the approved text and returns a message that says so: a run that approves
+  // never passes.
   std::string judge() const;
-  void check() const;  // the test fails with what judge() says
+  void check() const;  // fails the test with the result of judge(), unless that is empty
 
  private:
   std::string placed(const std::string& text);
@@ -51,10 +54,11 @@
   std::map<std::string, std::map<std::string, size_t>> seen_;  // by kind
 };
 
-// As `diff -u` writes it, with three lines around; empty where they are the same.
+// Returns the difference as `diff -u` writes it, with three lines of context; empty if the texts are equal.
 std::string unified(const std::string& before, const std::string& after);
 
-// A process with standard output and error in one stream of lines; killed where it is not over yet.
+// A child process whose standard output and error go into one stream. The destructor kills it if it still
+// runs.
 class Child {
  public:
   Child(std::vector<std::string> command, const std::string& folder,
@@ -63,8 +67,8 @@
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
-  int kill(int signal);                // and its end: as status()
-  std::pair<int, std::string> wait();  // exit status, minus the signal that ended it; what it wrote
+  int kill(int signal);  // sends the signal, waits for the end and returns the status as wait() does
+  std::pair<int, std::string> wait();  // exit status, or minus the signal that ended it; and its output
 
  private:
   pid_t process_ = -1;
