--- a/tests/relay/descriptors_test.cpp
+++ b/tests/relay/descriptors_test.cpp
@@ -1,5 +1,5 @@
-// Every descriptor that clients may hold is held by idle ones, while discovery goes and comes back: what else
-// the relay needs one for still gets it.
+// File descriptors: idle clients hold all descriptors that clients may have, while discovery goes down and
+// comes back. Everything else that needs a descriptor must still get one.
 #include <netinet/in.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -17,22 +17,23 @@
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
 
-// Discovery whose end the test decides.
-struct Platform {
+// Discovery that the test starts, and whose watch it closes, when it decides to.
+struct ControlledDiscovery {
   Socket listener{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
   Socket watch;
 
-  explicit Platform(bool up = true) {
+  explicit ControlledDiscovery(bool up = true) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     EXPECT_EQ(::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
     if (up) come_up();
   }
-  void come_up() { EXPECT_EQ(::listen(listener.fd(), 64), 0); }  // calls are refused before
+  void come_up() { EXPECT_EQ(::listen(listener.fd(), 64), 0); }  // before, connections are refused
 
   std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
-  // The next request whose caller still waits: while discovery is down calls come up and are given up.
+  // Returns the next request of this method whose caller still waits: calls that the relay gave up while
+  // discovery was down are skipped.
   std::pair<Socket, Request> next(const std::string& method) {
     while (true) {
       pollfd waiting{listener.fd(), POLLIN, 0};
@@ -63,32 +64,33 @@
   }
 };
 
-size_t held(const Program& program) {
+// Returns the number of descriptors that the process has open, as /proc counts them.
+size_t open_descriptors(const Program& program) {
   const auto entries = std::filesystem::directory_iterator("/proc/" + std::to_string(program.pid()) + "/fd");
   return static_cast<size_t>(std::distance(begin(entries), end(entries)));
 }
 
 struct Limits {
-  size_t told = 0;  // limits.sockets
-  int allowed = 0;  // to the process
-  bool up = true;   // discovery, at first
+  size_t configured = 0;  // limits.sockets in the configuration
+  int allowed = 0;        // RLIMIT_NOFILE of the process
+  bool up = true;         // whether discovery listens at the start
 };
 
 class Descriptors : public ::testing::TestWithParam<Limits> {};
 
-TEST_P(Descriptors, AreLeftForAllElseWhereIdleClientsHoldTheirs) {
+TEST_P(Descriptors, RemainForOtherUsesWhenIdleClientsHoldTheirShare) {
   Host host;
-  Platform platform(GetParam().up);
-  auto config = config_json(platform.address(), {member_json("s-1", host.address(), 7)});
+  ControlledDiscovery discovery(GetParam().up);
+  auto config = config_json(discovery.address(), {member_json("s-1", host.address(), 7)});
   config["control"] = "127.0.0.1:0";
-  config["limits"]["sockets"] = GetParam().told;
+  config["limits"]["sockets"] = GetParam().configured;
   config["limits"]["disk_mb"] = 0.05;
   Program program(config);
   program.start(GetParam().allowed);
   if (GetParam().up) {
-    platform.open();
-    platform.tell(list_json(2, true, {member_json("s-1", host.address(), 7)}));
-    platform.watch.close();
+    discovery.open();
+    discovery.tell(list_json(2, true, {member_json("s-1", host.address(), 7)}));
+    discovery.watch.close();
   }
   std::vector<Socket> idle;
   for (size_t i = 0; i < 300; ++i) {
@@ -99,35 +101,35 @@
     Socket client = program.client();
     client.send(put_bytes(id, facts, std::string(4000, 'x')));
     const std::string answer = client.line();
-    idle.push_back(std::move(client));  // and rests
+    idle.push_back(std::move(client));  // stays open and idle
     return answer;
   };
-  // More than the journal's file holds: it is written anew meanwhile.
+  // These messages exceed the size of the journal file, so it is compacted meanwhile.
   for (int i = 0; i < 12; ++i) {
     ASSERT_EQ(served("00000000000000b" + std::to_string(i), "c=safe,d=60000,dest=7"), "+OK") << i;
     EXPECT_EQ(host.next().headers.at("x-call-id"), "00000000000000b" + std::to_string(i));
     host.answer("200");
   }
-  EXPECT_LE(held(program), static_cast<size_t>(GetParam().allowed));
+  EXPECT_LE(open_descriptors(program), static_cast<size_t>(GetParam().allowed));
 
-  std::vector<Socket> stalled;  // and as many operators as are heard at once
+  std::vector<Socket> stalled;  // as many operators as are served at once
   for (int i = 0; i < 16; ++i) stalled.push_back(program.operators());
-  platform.come_up();
-  platform.open();
-  platform.tell(
+  discovery.come_up();
+  discovery.open();
+  discovery.tell(
       list_json(3, true, {member_json("s-1", host.address(), 7), member_json("s-2", host.address(), 9)}));
   EXPECT_EQ(program.operate("GET", "/v1/readyz").first, 200);
-  std::string answer = "-ERR unknown";  // until the list is heard
+  std::string answer = "-ERR unknown";  // until the list has arrived
   for (int i = 0; i < 1000 && answer.starts_with("-ERR unknown"); ++i) {
     answer = served("00000000000000c1", "c=unsafe,d=60000,dest=9");
   }
   EXPECT_EQ(answer, "+OK");
   host.next();
   host.reset();
-  EXPECT_EQ(platform.notice()["id"], "00000000000000c1");
+  EXPECT_EQ(discovery.notice()["id"], "00000000000000c1");
   program.signal(SIGHUP);
   EXPECT_TRUE(program.logged("reloaded"));
-  EXPECT_LE(held(program), static_cast<size_t>(GetParam().allowed));
+  EXPECT_LE(open_descriptors(program), static_cast<size_t>(GetParam().allowed));
 }
 
 INSTANTIATE_TEST_SUITE_P(Limits, Descriptors,
@@ -135,54 +137,54 @@
                                            Limits{1024, 96}, Limits{1024, 1024, false},
                                            Limits{64, 64, false}),
                          [](const auto& about) {
-                           return std::to_string(about.param.told) + "Told" +
+                           return std::to_string(about.param.configured) + "Configured" +
                                   std::to_string(about.param.allowed) + "Allowed" +
-                                  (about.param.up ? "" : "DownAtFirst");
+                                  (about.param.up ? "" : "DiscoveryDownAtStart");
                          });
 
-// Not by the system's word: it would allow more. Calls that are never answered, operators and clients all
-// take what they can get.
-class DescriptorsTold : public ::testing::TestWithParam<size_t> {};
+// The configured limit is below the one that the system allows, and it holds although unanswered calls,
+// operators and clients all take as many descriptors as they can get.
+class ConfiguredDescriptors : public ::testing::TestWithParam<size_t> {};
 
-TEST_P(DescriptorsTold, AreNotExceededWhereAllAreInUse) {
+TEST_P(ConfiguredDescriptors, IsNotExceededWhenAllAreInUse) {
   const Socket silent = Socket::listen();
-  Platform platform;
+  ControlledDiscovery discovery;
   std::vector<nlohmann::json> members;
   for (int i = 0; i < 30; ++i) {
     members.push_back(member_json("s-" + std::to_string(i), "127.0.0.1:" + std::to_string(silent.port()), i));
   }
-  auto config = config_json(platform.address(), members);
+  auto config = config_json(discovery.address(), members);
   config["control"] = "127.0.0.1:0";
   config["limits"]["sockets"] = GetParam();
   config["settings"]["family_info"]["calls_out"] = 1000;
   config["settings"]["bounds"]["open_cap"] = 2000;
   Program program(config);
   program.start();
-  platform.open();
-  std::vector<Socket> crowd;
-  size_t most = 0;
+  discovery.open();
+  std::vector<Socket> connections;
+  size_t max_open = 0;
   for (int i = 0; i < 120; ++i) {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", i);
-    crowd.push_back(program.client());
-    crowd.back().send(put_bytes(id, "c=safe,d=60000,dest=" + std::to_string(i % 30)));
-    EXPECT_EQ(crowd.back().line(), "+OK");
-    if (i % 4 == 0) crowd.push_back(program.operators());
-    most = std::max(most, held(program));
+    connections.push_back(program.client());
+    connections.back().send(put_bytes(id, "c=safe,d=60000,dest=" + std::to_string(i % 30)));
+    EXPECT_EQ(connections.back().line(), "+OK");
+    if (i % 4 == 0) connections.push_back(program.operators());
+    max_open = std::max(max_open, open_descriptors(program));
   }
-  EXPECT_LE(most, GetParam());
+  EXPECT_LE(max_open, GetParam());
 }
 
-INSTANTIATE_TEST_SUITE_P(Told, DescriptorsTold, ::testing::Values(64, 100, 128, 200));
+INSTANTIATE_TEST_SUITE_P(Configured, ConfiguredDescriptors, ::testing::Values(64, 100, 128, 200));
 
-// New settings may need more for calls: clients that rest leave theirs.
-TEST(DescriptorsReloaded, ClientsHaveWhatCallsLeave) {
-  Platform platform;
-  auto config = config_json(platform.address(), {});
+// A reload may give more descriptors to calls: idle clients are closed to make room.
+TEST(DescriptorsReloaded, CloseIdleClientsThatExceedNewShare) {
+  ControlledDiscovery discovery;
+  auto config = config_json(discovery.address(), {});
   config["limits"]["sockets"] = 128;
   Program program(config);
   program.start();
-  platform.open();
+  discovery.open();
   std::vector<Socket> resting;
   for (int i = 0; i < 60; ++i) {
     resting.push_back(program.client());
@@ -199,35 +201,35 @@
       return ::recv(client.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
     });
   };
-  // 128 less 40 of its own: half of the rest is for calls.
+  // Of 128 descriptors the relay keeps 40 for itself; half of the rest is for calls.
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kDeadlineMs);
   while (left() > 44 && std::chrono::steady_clock::now() < until) ::usleep(20'000);
   EXPECT_LE(left(), 44);
-  EXPECT_GE(left(), 36);  // and a few ahead of need
+  EXPECT_GE(left(), 36);  // a few are closed ahead of need
 }
 
-// The system may have none even so: an accept fails again at once, and the relay waits a little and serves
-// on.
-TEST(DescriptorsGone, AnAcceptIsTriedAgain) {
-  Platform platform;
-  Program program(config_json(platform.address(), {}));
+// The system may still run out of descriptors: an accept would fail again at once, so the relay waits a short
+// time and continues to serve.
+TEST(DescriptorsExhausted, RetriesAccept) {
+  ControlledDiscovery discovery;
+  Program program(config_json(discovery.address(), {}));
   program.start();
-  platform.open();
-  // Each way is gone once before: a sanitizer's first look at an object takes a pipe, and finds a fault where
-  // it gets none.
+  discovery.open();
+  // Runs each code path once before: a sanitizer's first check of an object opens a pipe, and reports an
+  // error if it cannot.
   for (int i = 0; i < 20; ++i) {
     Socket client = program.client();
     client.send(kPing);
     EXPECT_EQ(client.line(), "+PONG");
   }
-  const rlim_t few = held(program) + 2;
-  const rlimit now{few, few};
-  ASSERT_EQ(::prlimit(program.pid(), RLIMIT_NOFILE, &now, nullptr), 0);
-  std::vector<Socket> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(program.client());
-  crowd.front().send(kPing);
-  EXPECT_EQ(crowd.front().line(), "+PONG");
-  crowd.clear();
+  const rlim_t few = open_descriptors(program) + 2;
+  const rlimit limit{few, few};
+  ASSERT_EQ(::prlimit(program.pid(), RLIMIT_NOFILE, &limit, nullptr), 0);
+  std::vector<Socket> connections;
+  for (int i = 0; i < 60; ++i) connections.push_back(program.client());
+  connections.front().send(kPing);
+  EXPECT_EQ(connections.front().line(), "+PONG");
+  connections.clear();
   Socket client = program.client();
   client.send(kPing);
   EXPECT_EQ(client.line(), "+PONG");
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -79,7 +79,7 @@
   EXPECT_EQ(ping(client), "+PONG");
 }
 
-// SIGTERM comes before the successor has started to serve: requests on handed-stopping connections are still
+// SIGTERM comes before the successor has started to serve: requests on handed-over connections are still
 // answered and their messages still sent.
 TEST(Handover, ServesHandedOverClientsWhenStoppedBeforeListening) {
   Side s;
@@ -228,8 +228,8 @@
   EXPECT_EQ(s.discovery.notice(), failed("m-1"));
 }
 
-// The predecessor hands stopping a client that it was still answering, after the process in the middle has
-// handed stopping everything itself.
+// The predecessor hands over a client that it was still answering, after the process in the middle has
+// handed over everything itself.
 TEST(Handover, ForwardsClientThatArrivesLate) {
   Side s;
   Program middle(s.config);
@@ -524,7 +524,7 @@
     const FullDisk full(100);  // less than a compacted journal would take
     client.send(put_bytes("m-2", facts("safe", 99)));
     EXPECT_EQ(client.line(), "-BUSY 500");
-    EXPECT_EQ(Asker(folder.path).next().kind, 0);  // the folder is not handed stopping
+    EXPECT_EQ(Asker(folder.path).next().kind, 0);  // the folder is not handed over
     client.send(put_bytes("m-3", facts("safe", 99)));
     EXPECT_EQ(client.line(), "-BUSY 500");  // and the predecessor continues
   }
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -1,4 +1,5 @@
-// The relay's parts that need no socket: configuration, requests, the list and the journal.
+// Components of the relay on their own: configuration, watches, backoff, requests, the directory and the
+// journal.
 #include <filesystem>
 #include <fstream>
 #include <nlohmann/json.hpp>
@@ -15,13 +16,13 @@
 namespace turntally::relay {
 namespace {
 
-TEST(Config, FlattensToLinesOfTheModule) {
+TEST(Config, FlattensJsonToPolicySettingLines) {
   const auto json =
       nlohmann::json::parse(R"({"a":{"b":[1,2],"c":true},"d":[{"e":"x"}],"f":[],"g":0.25,"h":"words, too"})");
   EXPECT_EQ(flatten(json), "a.b=1,2\na.c=true\nd.count=1\nd.0.e=x\nf=\ng=0.25\nh=words, too\n");
 }
 
-TEST(Config, SaysWhatIsMissing) {
+TEST(Config, NamesMissingKey) {
   nlohmann::json config = testing::config_json("127.0.0.1:1", {});
   EXPECT_EQ(parse_config(config.dump(), "/tmp").settings.max_pending_messages, 20);
   config["settings"]["bounds"].erase("open_cap");
@@ -57,43 +58,43 @@
   std::vector<std::unique_ptr<Watch>> open;
 };
 
-// Watches of a large fleet that fall silent at once are all opened anew before what they miss counts as told,
-// which is 6 s later.
-TEST(Watch, IsOpenedAnewInTimeAfterASilence) {
+// When all watches of a large fleet go silent at once, all must be reopened within 6 s. After that time a
+// change that they missed would count as delivered to the relay.
+TEST(Watch, IsReopenedInTimeAfterSilence) {
   Watches fleet({100, false, 0}, 12);
   ASSERT_TRUE(fleet.opened(12, std::chrono::seconds(20)));
   fleet.discovery.hush();
   EXPECT_TRUE(fleet.opened(24, std::chrono::seconds(6))) << fleet.discovery.watches();
 }
 
-// An agent that pushes lists serves this relay alone, and what it has counts as told: it is asked at once,
-// however large the fleet.
-TEST(Watch, AsksAnAgentOfItsOwnAtOnce) {
+// An agent that pushes lists serves this relay alone, and what it has counts as delivered: the relay connects
+// at once, however large the fleet is.
+TEST(Watch, ConnectsAtOnceToDedicatedAgent) {
   Watches fleet({3000, true, 0}, 12);
   EXPECT_TRUE(fleet.opened(12, std::chrono::seconds(2))) << fleet.discovery.watches();
 }
 
-// Discovery deals with one call after another: relays that start together must not call it together.
-TEST(Backoff, SpreadsTheFirstCallsOfAFleet) {
+// Discovery handles one call at a time, so relays that start together must not call it at the same time.
+TEST(Backoff, SpreadsFirstCallsOfFleet) {
   int soon = 0;
   for (uint64_t seed = 1; seed <= 100; ++seed) soon += Backoff(100, seed).next().count() < 500;
   EXPECT_LE(soon, 25);
-  EXPECT_LE(Backoff(1, 1).next().count(), 50);  // alone there is nobody to wait for
+  EXPECT_LE(Backoff(1, 1).next().count(), 50);  // a single caller needs no spreading
 }
 
-// Up to a bound that a fleet's size does not move.
-TEST(Backoff, GrowsWhileCallsFailUpToItsBoundAndStartsAnew) {
+// The upper bound of the delay does not depend on the fleet's size.
+TEST(Backoff, GrowsToBoundWhileCallsFailAndResets) {
   const auto longest = [](Backoff& backoff, int calls) {
     std::chrono::milliseconds out{0};
     for (int i = 0; i < calls; ++i) out = std::max(out, backoff.next());
     return out.count();
   };
-  Backoff few(4, 7);
-  EXPECT_LE(longest(few, 1), 400);
-  EXPECT_GT(longest(few, 100), 1500);
-  EXPECT_LE(longest(few, 100), 2000);
-  few.reset();
-  EXPECT_LE(longest(few, 1), 400);
+  Backoff small_fleet(4, 7);
+  EXPECT_LE(longest(small_fleet, 1), 400);
+  EXPECT_GT(longest(small_fleet, 100), 1500);
+  EXPECT_LE(longest(small_fleet, 100), 2000);
+  small_fleet.reset();
+  EXPECT_LE(longest(small_fleet, 1), 400);
   for (const int callers : {100, 300, 30'000}) {
     Backoff many(callers, 7);
     EXPECT_GT(longest(many, 100), 3000);
@@ -101,7 +102,7 @@
   }
 }
 
-TEST(Resp, RefusesWhatItWouldHaveToHoldWithoutBound) {
+TEST(Resp, RejectsInputThatNeedsUnboundedMemory) {
   for (const std::string bytes :
        {"*17\r\n", "*1\r\n$65537\r\n", "*1\r\n$1234567890123", "x", "*1\r\n*1\r\n"}) {
     RespParser parser;
@@ -116,7 +117,7 @@
   EXPECT_TRUE(parser.empty());
 }
 
-TEST(Put, RefusesWhatWouldBreakAHeader) {
+TEST(PutCommand, RejectsValuesThatWouldBreakHeader) {
   const auto parse = [](const std::string& id, const std::string& list) {
     return parse_put({"MSG.PUT", "0", id, list, ""});
   };
@@ -129,7 +130,7 @@
   EXPECT_THROW(parse("a", "c=x,d=99999999999999999999,dest=7"), std::invalid_argument);
 }
 
-TEST(Directory, HandlesStandForIdsAndOldNewsIsDropped) {
+TEST(Directory, MapsIdsToHandlesAndIgnoresOlderRevision) {
   const ListNames names{{"a"}, {"std"}};
   const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> endpoints) {
     return parse_list(testing::list_json(revision, complete, std::move(endpoints)), names);
@@ -146,8 +147,9 @@
   EXPECT_FALSE(directory.active(old));
 }
 
-// An agent may be behind what another told: its list moves hosts on, and undoes nothing.
-TEST(Directory, AnOlderListUndoesNothing) {
+// An agent may be behind another one: its list may advance the phase of endpoints and add new ones, but
+// undoes nothing.
+TEST(Directory, UndoesNothingForOlderList) {
   const ListNames names{{"a"}, {"std"}};
   const auto member = [](const std::string& id, const std::string& phase) {
     return testing::member_json(id, "127.0.0.1:80", 7, phase);
@@ -166,7 +168,7 @@
                   1);
   directory.apply(list(10, false, {member("s-3", "left")}), 2);
   directory.forget(handle("s-3"));
-  // s-2 came after this list was made; s-4 and the end of s-5 are news.
+  // s-2 was added after this list was made; s-4 is new.
   directory.apply(list(4, true, {member("s-1", "active"), member("s-3", "active"), member("s-4", "active")}),
                   3);
   EXPECT_FALSE(directory.active(handle("s-1")));
@@ -178,8 +180,8 @@
   EXPECT_EQ(directory.revision(), 10);
 }
 
-// Ids are ever new: what is gone must not stay.
-TEST(Directory, ForgetsWhatIsGone) {
+// New endpoints have new ids, so entries of endpoints that have left must not accumulate.
+TEST(Directory, ForgetsEndpointsThatHaveLeft) {
   const ListNames names{{"a"}, {"std"}};
   Directory directory;
   for (int i = 0; i < 1000; ++i) {
@@ -216,7 +218,7 @@
   std::filesystem::path folder_;
 };
 
-TEST_F(JournalTest, TellsWhatBecameOfEachMessage) {
+TEST_F(JournalTest, RecoversStateOfEachMessage) {
   {
     Journal journal(folder_, 1'000'000);
     for (const std::string id : {"a", "b", "c", "d"}) ASSERT_TRUE(journal.record_accepted(message(id), 1234));
@@ -235,7 +237,7 @@
   EXPECT_EQ(left[0].deadline, 1234);
   EXPECT_EQ(left[0].attempts, 2);
   EXPECT_EQ(left[0].possibly_run.at(0).sent_at, 100);
-  EXPECT_EQ(left[0].possibly_run.at(0).zone, 1);  // as older versions told it
+  EXPECT_EQ(left[0].possibly_run.at(0).zone, 1);  // as older versions recorded it
   EXPECT_EQ(left[0].possibly_run.at(0).zone_name, "");
   EXPECT_EQ(left[0].possibly_run.at(1).zone_name, "north");
   EXPECT_EQ(left[1].attempts, 1);
@@ -245,8 +247,8 @@
   EXPECT_EQ(left[2].unacknowledged_answer->retry_after, 500);
 }
 
-// SIGKILL may fall between any two bytes: what was written whole before is kept, whatever is cut.
-TEST_F(JournalTest, SurvivesACutAtAnyByte) {
+// SIGKILL may interrupt a write after any byte: records that were complete before are kept.
+TEST_F(JournalTest, SurvivesTruncationAtAnyByte) {
   size_t first = 0;
   {
     Journal journal(folder_, 1'000'000);
@@ -264,42 +266,44 @@
   }
 }
 
-TEST_F(JournalTest, StaysWellUnderTheDiskAndKeepsWhatIsLive) {
-  constexpr size_t kDisk = 200'000;
+TEST_F(JournalTest, StaysBelowDiskLimitAndKeepsOpenMessages) {
+  constexpr size_t kDiskBytes = 200'000;
   {
-    Journal journal(folder_, kDisk);
+    Journal journal(folder_, kDiskBytes);
     ASSERT_TRUE(journal.record_accepted(message("kept", 1000), 1));
     for (int i = 0; i < 2000; ++i) {
       const std::string id = "m" + std::to_string(i);
       ASSERT_TRUE(journal.record_accepted(message(id, 1000), 1));
       journal.record_acknowledged(id);
-      ASSERT_LT(2 * bytes().size(), kDisk);
+      ASSERT_LT(2 * bytes().size(), kDiskBytes);
     }
-    int room = 0;
-    while (journal.record_accepted(message("n" + std::to_string(room), 1000), 1)) ++room;
-    EXPECT_GT(room, 20);
-    EXPECT_TRUE(journal.record_attempt("kept", 0, 1, 0));  // there is always room for what follows
+    int accepted_count = 0;
+    while (journal.record_accepted(message("n" + std::to_string(accepted_count), 1000), 1)) ++accepted_count;
+    EXPECT_GT(accepted_count, 20);
+    // Space for later records of an accepted message is reserved.
+    EXPECT_TRUE(journal.record_attempt("kept", 0, 1, 0));
   }
-  const Journal journal(folder_, kDisk);
+  const Journal journal(folder_, kDiskBytes);
   EXPECT_EQ(journal.recovered().front().message.id, "kept");
   EXPECT_EQ(journal.recovered().front().attempts, 1);
 }
 
-TEST_F(JournalTest, RemembersTheLastValueOfAName) {
-  constexpr size_t kDisk = 200'000;
+TEST_F(JournalTest, RemembersLastValueOfName) {
+  constexpr size_t kDiskBytes = 200'000;
   {
-    Journal journal(folder_, kDisk);
+    Journal journal(folder_, kDiskBytes);
     for (int i = 0; i < 10'000; ++i) journal.remember("a", std::to_string(i));
     journal.remember("b", "x");
     journal.remember("b", "");
-    EXPECT_LT(2 * bytes().size(), kDisk);
+    EXPECT_LT(2 * bytes().size(), kDiskBytes);
   }
-  EXPECT_EQ(Journal(folder_, kDisk).remembered(), (std::map<std::string, std::string>{{"a", "9999"}}));
+  EXPECT_EQ(Journal(folder_, kDiskBytes).remembered(), (std::map<std::string, std::string>{{"a", "9999"}}));
 }
 
-// Else a message that was handed back would be taken up again by the next process, and end twice.
-TEST_F(JournalTest, WritesWhatAFullDiskHeldBackOnceThereIsRoom) {
-  for (const bool moved : {false, true}) {
+// Otherwise the next process would resume a message that was already returned, and it would get two final
+// answers.
+TEST_F(JournalTest, WritesPendingRecordsOnceDiskHasRoom) {
+  for (const bool by_write_pending : {false, true}) {
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directory(folder_);
     {
@@ -310,16 +314,16 @@
         EXPECT_FALSE(journal.record_accepted(message("c"), 1234));
         journal.record_final_answer({"a", true, 500});
       }
-      EXPECT_TRUE(moved ? journal.write_pending() : journal.record_accepted(message("d"), 1234));
+      EXPECT_TRUE(by_write_pending ? journal.write_pending() : journal.record_accepted(message("d"), 1234));
     }
     const Journal again(folder_, 1'000'000);
-    ASSERT_EQ(again.recovered().size(), moved ? 2U : 3U);
-    EXPECT_TRUE(again.recovered()[0].unacknowledged_answer) << moved;
+    ASSERT_EQ(again.recovered().size(), by_write_pending ? 2U : 3U);
+    EXPECT_TRUE(again.recovered()[0].unacknowledged_answer) << by_write_pending;
     EXPECT_FALSE(again.recovered()[1].unacknowledged_answer);
   }
 }
 
-TEST_F(JournalTest, TakesAnIdAgainAfterItsEnd) {
+TEST_F(JournalTest, AcceptsIdAgainAfterAcknowledgement) {
   {
     Journal journal(folder_, 1'000'000);
     journal.record_accepted(message("a"), 1);
