--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,4 +1,5 @@
-// The program as a whole, over loopback sockets: what it accepts, what outlasts it, and how it ends.
+// The relay as a whole process over loopback sockets: accepted input, recovery after a restart, reload and
+// shutdown.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -18,10 +19,10 @@
          ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination);
 }
 
-struct Stage {
+struct RelayFixture {
   Host host;
   Discovery discovery;
-  // Destinations 8 and 99 have had a host, which wants nothing new.
+  // Destinations 8 and 99 have only an endpoint that is leaving.
   nlohmann::json config =
       config_json(discovery.address(),
                   {member_json("s-1", host.address(), 7), member_json("s-0", host.address(), 99, "leaving"),
@@ -42,8 +43,8 @@
 
 std::string id_of(const Request& call) { return call.headers.at("x-call-id"); }
 
-TEST(Program, DeliversUnchangedAndOwesNothingAfterwards) {
-  Stage s;
+TEST(Program, DeliversBodyUnchangedAndDoesNotRepeatFinishedMessage) {
+  RelayFixture s;
   s.program.start();
   std::string body = "any bytes: ";
   body += std::string("\0\r\n\xff", 4);
@@ -55,7 +56,7 @@
   EXPECT_EQ(call.headers.at("x-budget").back(), 'm');
   EXPECT_EQ(call.body, body);
   s.host.answer("200");
-  // The second answer comes after the first message's end was recorded: its call uses the same connection.
+  // The second answer comes after the first message's end was recorded, as its call uses the same connection.
   EXPECT_EQ(s.put("00000000000000b2", kFacts), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "00000000000000b2");
   EXPECT_EQ(s.host.connections(), 1);
@@ -63,9 +64,9 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000b2");
 }
 
-// So that one message can be followed by its id through every relay that had it.
-TEST(Program, TellsEachStepOfAMessageAtDebug) {
-  Stage s;
+// A message can be followed by its id through every relay that had it.
+TEST(Program, LogsEachStepOfMessageAtDebugLevel) {
+  RelayFixture s;
   s.program.log_at("debug");
   s.program.start();
   EXPECT_EQ(s.put("9b1f03aa5c7e2d41", kFacts), "+OK");
@@ -77,9 +78,9 @@
   }
 }
 
-// What a tenant sends beyond its share is worth little, and leaves the slots to the others.
-TEST(Program, CountsAMessageAgainstItsOwnTenantsShare) {
-  Stage s;
+// Messages of a tenant beyond its quota have little worth, so that other tenants get the slots.
+TEST(Program, CountsMessageAgainstQuotaOfItsTenant) {
+  RelayFixture s;
   s.config["settings"]["family_info"]["calls_out"] = 1;
   s.config["settings"]["over_share_worth"] = 0.05;
   s.config["settings"]["realms"] = {{{"name", "small"}, {"quota_per_s", 0.001}},
@@ -97,17 +98,18 @@
   }
 }
 
-// The module counts what goes to one host in one turn as one call, with one slot. A host holds the call to
-// the time of the first message in it, so the one that lives longest is the first.
-TEST(Program, SendsTheMessagesOfOneTurnAsABundle) {
-  Stage s;
+// The policy counts the messages that go to one endpoint in one turn as one call with one slot. An endpoint
+// applies the time of the first message to the whole call, so the message with the latest deadline comes
+// first.
+TEST(Program, SendsMessagesOfOneTurnAsBundle) {
+  RelayFixture s;
   s.config["settings"]["family_info"]["calls_out"] = 1;
   s.config["settings"]["family_info"]["kind_batch"] = {3};
   s.config["settings"]["categories"][1]["target_s"] = 30.0;
   Program program(s.config);
   program.start();
   Socket client = program.client();
-  for (int i = 0; i < 6; ++i) {  // the first wanted soonest, whatever the machine does meanwhile
+  for (int i = 0; i < 6; ++i) {  // m0 has the earliest deadline, however slow the machine is
     client.send(
         put_bytes("m" + std::to_string(i), facts("keyed", 7, 50'000 + 1000 * i), "b" + std::to_string(i)));
     EXPECT_EQ(client.line(), "+OK");
@@ -122,8 +124,8 @@
   EXPECT_EQ(s.host.next().body, "m5 5c0f6e1a2b3d4c59 2\r\nb5\r\nm4 5c0f6e1a2b3d4c59 2\r\nb4\r\n");
 }
 
-TEST(Program, AnswersPipelinedRequestsInOrderAndPiecesToo) {
-  Stage s;
+TEST(Program, AnswersPipelinedRequestsSentByteByByteInOrder) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   const std::string bytes = "*1\r\n$4\r\nPING\r\n" + put_bytes("a1", facts("keyed", 99)) +
@@ -137,8 +139,8 @@
   EXPECT_EQ(client.line(), "+PONG");
 }
 
-TEST(Program, AnswersMalformedBytesAndCloses) {
-  Stage s;
+TEST(Program, AnswersMalformedBytesAndClosesConnection) {
+  RelayFixture s;
   s.program.start();
   for (const std::string bytes :
        {"GET / HTTP/1.1\r\n", "*1\r\n$99999999\r\n", "*-1\r\n", "*1\r\n$1\r\nab\r\n"}) {
@@ -152,13 +154,13 @@
   EXPECT_EQ(client.line(), "+PONG");
 }
 
-TEST(Program, TurnsAwayWhatIsOverItsRoom) {
-  Stage s;
+TEST(Program, RejectsMessagesOverOpenCap) {
+  RelayFixture s;
   s.config["settings"]["bounds"]["open_cap"] = 4;
   Program small(s.config);
   small.start();
   Socket client = small.client();
-  for (int i = 0; i < 4; ++i) {  // all out at once: none can be given back
+  for (int i = 0; i < 4; ++i) {  // all are sent at once, so none can be returned
     client.send(put_bytes("m" + std::to_string(i), kFacts));
     EXPECT_EQ(client.line(), "+OK");
   }
@@ -166,11 +168,10 @@
   EXPECT_TRUE(client.line().starts_with("-BUSY "));
 }
 
-// A call that was out when the process died may have run.
-// A delivery counts only once its client has heard that the message is taken on: the answer is there before
+// A delivery counts only once its client knows that the message is accepted, so the answer must arrive before
 // the call.
-TEST(Program, AnswersAheadOfTheCall) {
-  Stage s;
+TEST(Program, AnswersClientBeforeCall) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   for (int i = 0; i < 50; ++i) {
@@ -184,9 +185,10 @@
   }
 }
 
-TEST(Program, ResendsSafeAndKeyedMessagesThatWereOutAtAKill) {
+// A call that was open when the process was killed may have run.
+TEST(Program, ResendsSafeAndKeyedMessagesOfCallsOpenAtKill) {
   for (const std::string effect : {"safe", "keyed"}) {
-    Stage s;
+    RelayFixture s;
     s.program.start();
     EXPECT_EQ(s.put("00000000000000a1", facts(effect)), "+OK");
     s.host.next();
@@ -199,8 +201,8 @@
   }
 }
 
-TEST(Program, FailsUnsafeMessagesThatWereOutAtAKill) {
-  Stage s;
+TEST(Program, FailsUnsafeMessagesOfCallsOpenAtKill) {
+  RelayFixture s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
   s.host.next();
@@ -210,14 +212,14 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
 }
 
-// Refused at once it never ran, and the record of that outlasts the process.
-TEST(Program, ResendsAnUnsafeMessageThatWasTurnedAwayBeforeAKill) {
-  Stage s;
+// A message that the endpoint rejected never ran, and the record of that survives the process.
+TEST(Program, ResendsUnsafeMessageRejectedBeforeKill) {
+  RelayFixture s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
   s.host.next();
   s.host.answer("429", "Retry-After: 30.0\r\n");
-  // That the answer was read shows in what follows it: a message elsewhere goes out on a later turn.
+  // A message to another destination goes out on a later turn, which shows that the answer was read.
   Host other;
   s.discovery.tell(list_json(2, false, {member_json("s-2", other.address(), 8)}));
   EXPECT_EQ(s.put("00000000000000a2", facts("safe", 8)), "+OK");
@@ -227,8 +229,8 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
 }
 
-TEST(Program, CutsATornTailAndKeepsWhatStandsBeforeIt) {
-  Stage s;
+TEST(Program, TruncatesTornRecordAndKeepsRecordsBeforeIt) {
+  RelayFixture s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99)), "+OK");
   s.program.kill();
@@ -248,8 +250,8 @@
   EXPECT_EQ(ids, (std::set<std::string>{"00000000000000a1", "00000000000000a2"}));
 }
 
-TEST(Program, TurnsAwayWhatItsFolderHasNoRoomFor) {
-  Stage s;
+TEST(Program, RejectsMessagesOverDiskLimit) {
+  RelayFixture s;
   s.config["limits"]["disk_mb"] = 0.02;
   Program small(s.config);
   small.start();
@@ -261,8 +263,8 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
 }
 
-TEST(Program, SendsANoticeAgainUntilItIsTaken) {
-  Stage s;
+TEST(Program, ResendsNoticeUntilItIsAcknowledged) {
+  RelayFixture s;
   s.discovery.refuse(2);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
@@ -272,8 +274,8 @@
   EXPECT_EQ(s.discovery.refused(), 2);
 }
 
-TEST(Program, OwesANoticeAfterARestart) {
-  Stage s;
+TEST(Program, SendsUnacknowledgedNoticeAfterRestart) {
+  RelayFixture s;
   s.discovery.refuse(1'000'000);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
@@ -286,8 +288,8 @@
   EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
 }
 
-TEST(Program, EndsAMessageWhoseTimePassedWhileItWasDown) {
-  Stage s;
+TEST(Program, ReturnsMessageWhoseDeadlinePassedWhileDown) {
+  RelayFixture s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99, 300)), "+OK");
   s.program.kill();
@@ -295,11 +297,11 @@
   const nlohmann::json notice = s.discovery.notice();
   EXPECT_EQ(notice.at("id"), "00000000000000a1");
   EXPECT_EQ(notice.at("state"), "returned");
-  EXPECT_GT(notice.at("after_ms"), 0);  // the client is told when to come again
+  EXPECT_GT(notice.at("after_ms"), 0);  // tells the client when to submit it again
 }
 
-TEST(Program, FollowsTheWatch) {
-  Stage s;
+TEST(Program, AppliesListsFromWatch) {
+  RelayFixture s;
   Host replacement;
   s.program.start();
   s.discovery.tell(list_json(
@@ -310,11 +312,11 @@
   replacement.answer("200");
   s.discovery.tell(list_json(3, false, {member_json("s-3", replacement.address(), 7)}));
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 7)), "+OK");
-  EXPECT_EQ(id_of(replacement.next()), "00000000000000a2");  // and not to the one that leaves
+  EXPECT_EQ(id_of(replacement.next()), "00000000000000a2");  // not to the one that is leaving
 }
 
-TEST(Program, FollowsAListThatIsIndented) {
-  Stage s;
+TEST(Program, AppliesIndentedList) {
+  RelayFixture s;
   Host replacement;
   s.program.start();
   const nlohmann::json list = list_json(
@@ -322,23 +324,23 @@
       {member_json("s-1", s.host.address(), 7, "leaving"), member_json("s-2", replacement.address(), 7)});
   s.discovery.tell("\n" + list.dump(1));
   s.discovery.tell(list_json(3, false, {member_json("s-3", replacement.address(), 8)}));
-  EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");  // that both were heard
+  EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");  // both lists have been applied
   EXPECT_EQ(id_of(replacement.next()), "00000000000000a1");
   replacement.answer("200");
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 7)), "+OK");
   EXPECT_EQ(id_of(replacement.next()), "00000000000000a2");
 }
 
-// The configuration's list may be older than what the process before was told, and discovery down.
-TEST(Program, RemembersTheListAcrossARestart) {
-  Stage s;
+// The list in the configuration may be older than the last one that was received, and discovery may be down.
+TEST(Program, RemembersListAcrossRestart) {
+  RelayFixture s;
   Host other;
   s.program.start();
   s.discovery.tell(
       list_json(2, false,
                 {member_json("s-1", s.host.address(), 7, "leaving"), member_json("s-2", other.address(), 7),
                  member_json("s-3", other.address(), 8)}));
-  EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");  // that it was heard
+  EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");  // the list has been applied
   EXPECT_EQ(id_of(other.next()), "00000000000000a1");
   s.program.kill();
   s.discovery.mute();
@@ -352,8 +354,8 @@
   }
 }
 
-TEST(Program, SigtermLetsACallFinishAndKeepsTheRest) {
-  Stage s;
+TEST(Program, FinishesOpenCallAfterSigtermAndKeepsOtherMessages) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   client.send(put_bytes("00000000000000a1", facts("unsafe")));
@@ -373,37 +375,36 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
 }
 
-// ---- A window of one second for repeats ----
-
 using Clock = std::chrono::steady_clock;
 
-// A host that the test plays from its listener on: connections come up when it lets them.
-struct Second {
+// A relay whose class `keyed` has a window of one second for repeats. The test plays the host from its
+// listener on, so that it decides when connections are established.
+struct ShortKeyWindow {
   Socket host = Socket::listen();
   Discovery discovery;
   nlohmann::json config =
       config_json(discovery.address(), {member_json("s-1", "127.0.0.1:" + std::to_string(host.port()), 7)});
   Program program{short_window(config)};
   Socket connection;
-  Clock::time_point over;  // the window of the one message
+  Clock::time_point window_end;  // of the only message
 
   static nlohmann::json short_window(nlohmann::json& config) {
     config["settings"]["categories"][1]["key_ttl_s"] = 1.0;
     config["settings"]["bounds"]["connect_timeout_s"] = 5.0;
     return config;
   }
-  // Hands the message in and reads its first call.
-  void first() {
+  // Submits the message and reads its first call.
+  void submit_and_read_call() {
     program.start();
     Socket client = program.client();
     client.send(put_bytes("00000000000000a1", facts("keyed")));
     EXPECT_EQ(client.line(), "+OK");
     connection = host.accept();
     EXPECT_TRUE(read_request(connection));
-    over = Clock::now() + std::chrono::seconds(1);
+    window_end = Clock::now() + std::chrono::seconds(1);
   }
-  // A connection to the host is asked for, and not up.
-  bool asked() const {
+  // Waits until a connection to the host is in SYN_SENT; returns false at the deadline.
+  bool await_connecting() const {
     char wanted[16];
     std::snprintf(wanted, sizeof wanted, ":%04X 02 ", host.port());
     const auto until = Clock::now() + std::chrono::milliseconds(kDeadlineMs);
@@ -417,19 +418,20 @@
   }
 };
 
-// Its repeat's connection comes up after the window, also where the process is stopped until then.
-TEST(Window, ARepeatWhoseConnectionComesUpLateDoesNotBegin) {
+// The connection for the repeat is established after the window, with the process running or stopped until
+// then.
+TEST(KeyWindow, SendsNoRepeatOnConnectionEstablishedTooLate) {
   for (const bool stopped : {false, true}) {
-    Second s;
-    s.first();
+    ShortKeyWindow s;
+    s.submit_and_read_call();
     ::listen(s.host.fd(), 0);
-    Socket crowd = Socket::connect(s.host.port());  // the one that the host has room for
+    Socket queued = Socket::connect(s.host.port());  // takes the only place in the host's queue
     s.connection.reset();
-    ASSERT_TRUE(s.asked());
+    ASSERT_TRUE(s.await_connecting());
     if (stopped) s.program.signal(SIGSTOP);
-    crowd = s.host.accept();
-    Socket late = s.host.accept();  // the system asks again after a second
-    ASSERT_GE(Clock::now(), s.over);
+    queued = s.host.accept();
+    Socket late = s.host.accept();  // the kernel retries the connection after a second
+    ASSERT_GE(Clock::now(), s.window_end);
     if (stopped) s.program.signal(SIGCONT);
     EXPECT_EQ(s.discovery.notice()["state"], "returned");
     char byte = 0;
@@ -437,23 +439,23 @@
   }
 }
 
-TEST(Window, ARestartInsideItRepeatsInsideItOrNotAtAll) {
+TEST(KeyWindow, SendsRepeatsAfterRestartOnlyWithinWindow) {
   for (const bool at_once : {true, false}) {
-    Second s;
-    s.first();
+    ShortKeyWindow s;
+    s.submit_and_read_call();
     s.program.kill();
     s.connection.close();
-    if (!at_once) std::this_thread::sleep_until(s.over);
+    if (!at_once) std::this_thread::sleep_until(s.window_end);
     s.program.start();
     pollfd waiting{s.host.fd(), POLLIN, 0};
     const auto called = [&] {
-      const auto left = std::chrono::ceil<std::chrono::milliseconds>(s.over - Clock::now()).count();
+      const auto left = std::chrono::ceil<std::chrono::milliseconds>(s.window_end - Clock::now()).count();
       return ::poll(&waiting, 1, static_cast<int>(std::max<int64_t>(0, left))) > 0;
     };
     while (called()) {
       s.connection = s.host.accept();
       EXPECT_TRUE(read_request(s.connection));
-      EXPECT_LT(Clock::now(), s.over);
+      EXPECT_LT(Clock::now(), s.window_end);
       s.connection.reset();
     }
     EXPECT_EQ(s.discovery.notice()["state"], "failed") << at_once;
@@ -461,17 +463,15 @@
   }
 }
 
-// ---- A new configuration ----
-
-TEST(Program, FollowsDiscoveryToItsNewAddress) {
-  Stage s;
+TEST(Program, UsesNewDiscoveryAddressAfterReload) {
+  RelayFixture s;
   Discovery next;
   Host other;
   s.program.start();
   s.config["discovery"] = next.address();
   s.program.configure(s.config.dump());
   s.program.signal(SIGHUP);
-  // Whatever revision the new agent has.
+  // The new agent's list is accepted whatever its revision is.
   next.tell(list_json(0, false, {member_json("s-2", other.address(), 99)}));
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99)), "+OK");
   EXPECT_EQ(id_of(other.next()), "00000000000000a1");
@@ -481,9 +481,9 @@
   EXPECT_EQ(next.notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
 }
 
-// A notice that the old address did not answer goes to the new one.
-TEST(Program, SendsUnansweredNoticesToTheNewAddress) {
-  Stage s;
+// A notice that discovery at the old address did not acknowledge goes to the new one.
+TEST(Program, SendsUnacknowledgedNoticesToNewAddress) {
+  RelayFixture s;
   Discovery next;
   s.discovery.refuse(1'000'000);
   s.program.start();
@@ -497,8 +497,8 @@
   EXPECT_EQ(next.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
 }
 
-TEST(Program, KeepsTheOldConfigurationWhereTheNewOneIsNotValid) {
-  Stage s;
+TEST(Program, KeepsOldConfigurationWhenNewOneIsInvalid) {
+  RelayFixture s;
   s.program.start();
   s.config["discovery"] = "nowhere";
   const std::string unreadable = s.config.dump();
@@ -515,41 +515,39 @@
   EXPECT_EQ(s.program.wait(), 0);
 }
 
-// ---- Bad clients ----
-
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
 
-TEST(Program, ClosesAClientThatSaysNothing) {
-  Stage s;
+TEST(Program, ClosesClientThatSendsNothing) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   EXPECT_TRUE(client.ended());
 }
 
-// Bytes that dribble in do not put the limit off.
-TEST(Program, EndsACommandThatIsNeverFinished) {
-  Stage s;
+// Bytes that arrive slowly do not extend the time limit of a command.
+TEST(Program, EndsCommandThatIsNeverCompleted) {
+  RelayFixture s;
   s.program.start();
-  Socket half = s.program.client();
-  half.send("*5\r\n$7\r\nMSG.P");
-  Socket dribbling = s.program.client();
-  dribbling.send(kPing);
-  EXPECT_EQ(dribbling.line(), "+PONG");
-  dribbling.send("*1\r\n$60000\r\n");
+  Socket incomplete_client = s.program.client();
+  incomplete_client.send("*5\r\n$7\r\nMSG.P");
+  Socket slow_client = s.program.client();
+  slow_client.send(kPing);
+  EXPECT_EQ(slow_client.line(), "+PONG");
+  slow_client.send("*1\r\n$60000\r\n");
   std::atomic<bool> over = false;
-  std::thread dribble([&] {
-    while (!over && dribbling.send("x")) std::this_thread::sleep_for(std::chrono::milliseconds(20));
+  std::thread slow_sender([&] {
+    while (!over && slow_client.send("x")) std::this_thread::sleep_for(std::chrono::milliseconds(20));
   });
-  EXPECT_TRUE(half.line().starts_with("-ERR"));
-  EXPECT_TRUE(half.ended());
-  EXPECT_TRUE(dribbling.line().starts_with("-ERR"));
+  EXPECT_TRUE(incomplete_client.line().starts_with("-ERR"));
+  EXPECT_TRUE(incomplete_client.ended());
+  EXPECT_TRUE(slow_client.line().starts_with("-ERR"));
   over = true;
-  dribble.join();
+  slow_sender.join();
 }
 
-// A close with bytes unread is a reset, and the error would be lost with it.
-TEST(Program, AnErrorReachesAClientThatGoesOnSending) {
-  Stage s;
+// Closing a socket with unread bytes sends a reset, which would discard the error reply.
+TEST(Program, DeliversErrorToClientThatKeepsSending) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   ASSERT_TRUE(client.send("*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n"));
@@ -559,9 +557,9 @@
   EXPECT_TRUE(client.ended());
 }
 
-// Clients keep their connections: those that ask no more must not shut out others.
-TEST(Program, MakesRoomForAnotherClient) {
-  Stage s;
+// Clients keep their connections open, so idle ones must not block new ones.
+TEST(Program, ClosesIdleClientsToAcceptNewOnes) {
+  RelayFixture s;
   s.config["limits"]["sockets"] = 64;
   Program small(s.config);
   small.start();
@@ -573,21 +571,21 @@
   }
 }
 
-TEST(Program, TurnsAwayWhatNoHostCouldTake) {
-  Stage s;
+TEST(Program, RejectsInvalidMessages) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   for (const std::string what : {"c=safe,d=1000,dest=5", "c=keyed,d=1000,dest=7", "c=safe,d=61000,dest=7",
                                  "c=nosuch,d=1000,dest=7", "c=safe,d=1\r\n+OK,dest=7", "c=safe,d=,dest=7"}) {
     client.send(put_bytes("00000000000000a1", what) + kPing);
     EXPECT_TRUE(client.line().starts_with("-ERR")) << what;
-    EXPECT_EQ(client.line(), "+PONG") << what;  // nothing that the client sent made a line of its own
+    EXPECT_EQ(client.line(), "+PONG") << what;  // no sent bytes were echoed as a line of their own
   }
 }
 
-// Handed in twice before it is decided on: both get the one answer.
-TEST(Program, AnswersARepeatedIdAsTheFirst) {
-  Stage s;
+// An id that is submitted twice before the first is decided gets the same answer twice.
+TEST(Program, AnswersRepeatedIdLikeTheFirst) {
+  RelayFixture s;
   s.config["limits"]["disk_mb"] = 0.02;
   Program small(s.config);
   small.start();
@@ -598,9 +596,10 @@
   for (Socket& client : clients) EXPECT_TRUE(client.line().starts_with("-BUSY"));
 }
 
-// A message's time runs from its last byte, also while it waits to be read: a notice for it would come late.
-TEST(Program, CountsTheTimeThatARequestWaited) {
-  Stage s;
+// A message's time runs from the arrival of its last byte, also while it waits to be read. Otherwise a notice
+// for it would come late.
+TEST(Program, CountsTimeThatRequestWaited) {
+  RelayFixture s;
   s.program.start();
   Socket client = s.program.client();
   client.send(kPing);
@@ -612,10 +611,10 @@
   EXPECT_TRUE(client.line().starts_with("-BUSY"));
 }
 
-// In a crowd requests wait to be accepted, some for longer than their clients do: to take those on would cost
-// the calls that others wait for.
-TEST(Program, DropsARequestThatItsClientGaveUp) {
-  Stage s;
+// Under load some requests wait to be accepted for longer than their clients wait for an answer. Accepting
+// these would use calls that other messages need.
+TEST(Program, DropsRequestOfClientThatGaveUp) {
+  RelayFixture s;
   s.program.start();
   s.program.signal(SIGSTOP);
   {
@@ -628,21 +627,21 @@
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
 }
 
-// Out of descriptors an accept fails again at once: the relay waits a little and serves on.
+// Without free descriptors an accept would fail again at once, so the relay waits a short time and continues.
 TEST(Program, SurvivesRunningOutOfDescriptors) {
-  Stage s;
+  RelayFixture s;
   s.program.start(40);
-  std::vector<Socket> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(s.program.client());
-  crowd.front().send("*1\r\n$4\r\nPING\r\n");
-  EXPECT_EQ(crowd.front().line(), "+PONG");
-  crowd.clear();
+  std::vector<Socket> clients;
+  for (int i = 0; i < 60; ++i) clients.push_back(s.program.client());
+  clients.front().send("*1\r\n$4\r\nPING\r\n");
+  EXPECT_EQ(clients.front().line(), "+PONG");
+  clients.clear();
   Socket client = s.program.client();
   client.send("*1\r\n$4\r\nPING\r\n");
   EXPECT_EQ(client.line(), "+PONG");
 }
 
-// A list as the registry tells it.
+// Returns a list in the registry's form.
 nlohmann::json registry_list(int revision, bool complete, std::vector<nlohmann::json> members,
                              const std::string& identity = "one") {
   nlohmann::json out = list_json(revision, complete, std::move(members));
@@ -650,7 +649,8 @@
   return out;
 }
 
-std::string figure(const Program& program, const std::string& name) {
+// Returns the value of a metric; empty if there is none.
+std::string metric(const Program& program, const std::string& name) {
   const std::string text = program.operate("GET", "/v1/metrics").second;
   const size_t at = text.find("\n" + name + " ");
   return at == std::string::npos
@@ -658,17 +658,17 @@
              : text.substr(at + name.size() + 2, text.find('\n', at + 1) - at - name.size() - 2);
 }
 
-void await_figure(const Program& program, const std::string& name, const std::string& value) {
+void await_metric(const Program& program, const std::string& name, const std::string& value) {
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kDeadlineMs);
-  while (figure(program, name) != value && std::chrono::steady_clock::now() < until)
+  while (metric(program, name) != value && std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  EXPECT_EQ(figure(program, name), value) << name;
+  EXPECT_EQ(metric(program, name), value) << name;
 }
 
-struct FleetStage : Stage {
+struct FleetFixture : RelayFixture {
   Discovery members[2];
 
-  explicit FleetStage(int hold_ms) {
+  explicit FleetFixture(int hold_ms) {
     config["control"] = "127.0.0.1:0";
     config["known"] = list_json(1, true, hosts(5));
     config["fleet"] = {{"registry", {members[0].address(), members[1].address()}}, {"hold_ms", hold_ms}};
@@ -684,83 +684,84 @@
   }
 };
 
-TEST(Fleet, FollowsAnyMemberOfTheRegistryAndKeepsItsListOverARestart) {
-  FleetStage s(60'000);
-  s.members[0].mute();  // silent with its connections open: the other one it is, sooner or later
+TEST(Fleet, UsesAnyRegistryMemberAndKeepsListAcrossRestart) {
+  FleetFixture s(60'000);
+  s.members[0].mute();  // does not answer, so the relay changes to the other member
   s.members[1].tell(registry_list(100, true, s.hosts(5)));
   s.program.start();
   EXPECT_TRUE(s.program.logged("registry"));
-  await_figure(s.program, "proxy_targets", "5");
+  await_metric(s.program, "proxy_targets", "5");
   s.members[1].mute();
   s.restart_killed();
-  EXPECT_EQ(s.put("00000000000000b2", facts("keyed", 42)), "+OK");  // as it was known before
+  EXPECT_EQ(s.put("00000000000000b2", facts("keyed", 42)), "+OK");  // with the list from before the restart
   EXPECT_EQ(id_of(s.host.next()), "00000000000000b2");
-  EXPECT_EQ(figure(s.program, "proxy_list_age_seconds").front(), '-');
+  EXPECT_EQ(metric(s.program, "proxy_list_age_seconds").front(), '-');
 }
 
-TEST(Fleet, HeedsADrainAtOnceAndHoldsAListThatTakesMostAway) {
-  FleetStage s(60'000);
-  s.members[1].mute();  // nobody confirms
+TEST(Fleet, AppliesDrainAtOnceAndHoldsListThatRemovesMostEndpoints) {
+  FleetFixture s(60'000);
+  s.members[1].mute();  // no other member confirms the list
   s.members[0].tell(registry_list(100, true, s.hosts(5)));
   s.program.start();
   EXPECT_TRUE(s.program.logged("registry"));
-  await_figure(s.program, "proxy_targets", "5");
+  await_metric(s.program, "proxy_targets", "5");
   std::vector<nlohmann::json> few = s.hosts(1);
   few[0]["phase"] = "leaving";
   s.members[0].tell(registry_list(101, true, few));
-  await_figure(s.program, "proxy_list_holds_total", "1");
-  EXPECT_EQ(figure(s.program, "proxy_list_held"), "1");
-  EXPECT_EQ(figure(s.program, "proxy_targets"), "5");
-  // Its one host is told to drain: what comes for it is held, not sent; the others' goes out.
+  await_metric(s.program, "proxy_list_holds_total", "1");
+  EXPECT_EQ(metric(s.program, "proxy_list_held"), "1");
+  EXPECT_EQ(metric(s.program, "proxy_targets"), "5");
+  // The list's only endpoint is leaving: its message is held, and messages for the others are sent.
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 40)), "+OK");
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 41)), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
 }
 
-TEST(Fleet, TakesAHeldListOnceASecondMemberSaysTheSame) {
-  FleetStage s(60'000);
+TEST(Fleet, AppliesHeldListOnceSecondMemberConfirms) {
+  FleetFixture s(60'000);
   s.tell(registry_list(100, true, s.hosts(5)));
   s.program.start();
   EXPECT_TRUE(s.program.logged("registry"));
-  await_figure(s.program, "proxy_targets", "5");
+  await_metric(s.program, "proxy_targets", "5");
   s.program.kill();
   Discovery restored[2];
   for (Discovery& member : restored) member.tell(registry_list(200, true, s.hosts(2), "two"));
   s.config["fleet"]["registry"] = {restored[0].address(), restored[1].address()};
   s.program.configure(s.config.dump());
   s.program.start();
-  await_figure(s.program, "proxy_targets", "2");
-  EXPECT_EQ(figure(s.program, "proxy_list_holds_total"), "1");
+  await_metric(s.program, "proxy_targets", "2");
+  EXPECT_EQ(metric(s.program, "proxy_list_holds_total"), "1");
 }
 
-TEST(Fleet, HoldsAnEmptyListAlsoAtTheFirstStart) {
-  FleetStage s(60'000);
+TEST(Fleet, HoldsEmptyListAtFirstStart) {
+  FleetFixture s(60'000);
   s.members[1].mute();
   s.members[0].tell(registry_list(100, true, {}));
   s.program.start();
-  await_figure(s.program, "proxy_list_held", "1");
+  await_metric(s.program, "proxy_list_held", "1");
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 40)),
-            "+OK");  // to the host that the configuration names
+            "+OK");  // to the endpoint in the configuration
   EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
 }
 
-// Back to the platform's discovery, whose revisions are lower: its list is taken all the same.
-TEST(Fleet, GoesBackToDiscovery) {
-  FleetStage s(60'000);
+// Back to the platform's discovery, whose revisions are lower; its list is accepted nevertheless.
+TEST(Fleet, ReturnsToDiscovery) {
+  FleetFixture s(60'000);
   s.tell(registry_list(1000, true, s.hosts(5)));
   s.program.start();
   EXPECT_TRUE(s.program.logged("registry"));
-  await_figure(s.program, "proxy_targets", "5");
+  await_metric(s.program, "proxy_targets", "5");
   s.program.kill();
   s.config.erase("fleet");
   s.program.configure(s.config.dump());
   s.discovery.tell(list_json(7, true, {member_json("s-1", s.host.address(), 7)}));
   s.program.start();
-  await_figure(s.program, "proxy_targets", "1");
+  await_metric(s.program, "proxy_targets", "1");
 }
 
-// Without `fleet` it is the relay that it was: the same bytes to discovery, no figure more.
-TEST(Fleet, IsNotThereWithoutItsSettings) {
+// Without `fleet` settings the relay sends the same bytes to discovery as before and has no additional
+// metrics.
+TEST(Fleet, IsDisabledWithoutItsSettings) {
   Socket discovery = Socket::listen();
   Host host;
   nlohmann::json config =
@@ -776,11 +777,11 @@
   client.send(put_bytes("9b1f03aa5c7e2d41", kFacts));
   EXPECT_EQ(client.line(), "+OK");
   host.next();
-  const std::string figures = program.operate("GET", "/v1/metrics").second;
-  EXPECT_EQ(figures.find("registry"), std::string::npos);
-  EXPECT_EQ(figures.find("proxy_list"), std::string::npos);
+  const std::string metrics = program.operate("GET", "/v1/metrics").second;
+  EXPECT_EQ(metrics.find("registry"), std::string::npos);
+  EXPECT_EQ(metrics.find("proxy_list"), std::string::npos);
   program.kill();
-  EXPECT_EQ(watch.line(), "");  // not a byte more
+  EXPECT_EQ(watch.line(), "");  // no further bytes were sent
 }
 
 }  // namespace
--- a/tests/relay/shutdown_test.cpp
+++ b/tests/relay/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// The end of the process: what clients have sent, or send just then, against what is closed. The test runs
-// the loop itself, so that it decides what has come before the relay looks.
+// Shutdown of the relay while clients have sent requests or are sending them. The test runs the event loop
+// itself, so that it decides which bytes have arrived before the relay checks.
 #include <fcntl.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -37,8 +37,8 @@
     }
   }
 
-  // What the client finds: 'b' bytes, 'e' an end, 'r' a reset, '-' nothing yet.
-  static char found(const Socket& client) {
+  // Returns what the client can read now: 'b' bytes, 'e' end of stream, 'r' reset, '-' nothing yet.
+  static char peek(const Socket& client) {
     char byte = 0;
     const ssize_t got = ::recv(client.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (got > 0) return 'b';
@@ -47,14 +47,14 @@
   }
 
   void expect_answer(Socket& client, const std::string& line) {
-    run_until([&] { return found(client) != '-'; });
-    ASSERT_EQ(found(client), 'b') << "no answer, but its end";
+    run_until([&] { return peek(client) != '-'; });
+    ASSERT_EQ(peek(client), 'b') << "no answer, but its end";
     EXPECT_EQ(client.line(), line);
   }
 
   void expect_end(Socket& client) {
-    run_until([&] { return found(client) != '-'; });
-    EXPECT_EQ(found(client), 'e');
+    run_until([&] { return peek(client) != '-'; });
+    EXPECT_EQ(peek(client), 'e');
   }
 
   boost::asio::io_context io_;
@@ -68,8 +68,8 @@
                           }};
 };
 
-// Three, as one may have been accepted already by the time that the listener closes.
-TEST_F(Shutdown, ConnectionsThatWaitToBeAcceptedAreAnswered) {
+// Three connections, as one may already have been accepted when the listener closes.
+TEST_F(Shutdown, AnswersConnectionsInListenerQueue) {
   std::vector<Socket> waiting;
   for (int i = 0; i < 3; ++i) {
     waiting.push_back(client());
@@ -85,9 +85,9 @@
   EXPECT_EQ(puts_, 3);
 }
 
-// All places are taken by commands that are never finished: their clients get an error in time, and then
-// those that wait are served.
-TEST_F(Shutdown, ConnectionsThatWaitBehindAFullHouseAreAnswered) {
+// Clients with incomplete commands take all places. They get an error in time, and then the waiting clients
+// are served.
+TEST_F(Shutdown, AnswersConnectionsThatWaitForFullClientLimit) {
   std::vector<Socket> unfinished;
   for (int i = 0; i < 16; ++i) {
     unfinished.push_back(client());
@@ -104,8 +104,8 @@
   EXPECT_EQ(puts_, 3);
 }
 
-// At the very end nothing more is read, and each command that was has its answer.
-TEST_F(Shutdown, WhatWasReadByTheLastMomentIsAnswered) {
+// At the end nothing more is read, and each command that was read gets its answer.
+TEST_F(Shutdown, AnswersAllCommandsReadBeforeReadingStops) {
   constexpr int kCommands = 20;
   Socket busy = client();
   std::string commands;
@@ -123,108 +123,110 @@
   for (int i = 0; i < kCommands; ++i) EXPECT_EQ(busy.line(), "+OK");
 }
 
-// The client's request is on its way while the relay ends the connection: it must see an end, not a reset,
-// which could take an answer with it; and the request is not taken on, as the client sends it once more.
-TEST_F(Shutdown, ARequestThatCrossesTheEndIsNeitherTakenOnNorReset) {
-  Socket resting = client();
-  ASSERT_TRUE(resting.send(kPing));
-  expect_answer(resting, "+PONG");
+// The client's request is on its way while the relay closes the connection. The client must see an end of
+// stream, as a reset could discard an answer; the request is not accepted, because the client sends it again.
+TEST_F(Shutdown, NeitherAcceptsNorResetsRequestSentDuringClose) {
+  Socket idle_client = client();
+  ASSERT_TRUE(idle_client.send(kPing));
+  expect_answer(idle_client, "+PONG");
   clients_.finish();
-  expect_end(resting);
-  ASSERT_TRUE(resting.send(kPut));
+  expect_end(idle_client);
+  ASSERT_TRUE(idle_client.send(kPut));
   for (int i = 0; i < 3; ++i) io_.poll();
-  EXPECT_FALSE(clients_.ended());  // the process waits for the client's own end
-  EXPECT_EQ(found(resting), 'e');
-  ASSERT_EQ(::shutdown(resting.fd(), SHUT_WR), 0);
+  EXPECT_FALSE(clients_.ended());  // the process waits for the client to close
+  EXPECT_EQ(peek(idle_client), 'e');
+  ASSERT_EQ(::shutdown(idle_client.fd(), SHUT_WR), 0);
   run_until([&] { return clients_.ended(); });
-  EXPECT_EQ(found(resting), 'e');
+  EXPECT_EQ(peek(idle_client), 'e');
   EXPECT_EQ(puts_, 0);
 }
 
-TEST_F(Shutdown, WhatHadComeBeforeTheEndIsAnsweredWhole) {
-  Socket resting = client();
-  ASSERT_TRUE(resting.send(kPing));
-  expect_answer(resting, "+PONG");
-  ASSERT_TRUE(resting.send(kPut + kPing + kPut.substr(0, 20)));  // two, and a part of a third
+TEST_F(Shutdown, AnswersAllCommandsReceivedBeforeShutdown) {
+  Socket idle_client = client();
+  ASSERT_TRUE(idle_client.send(kPing));
+  expect_answer(idle_client, "+PONG");
+  ASSERT_TRUE(idle_client.send(kPut + kPing + kPut.substr(0, 20)));  // two commands and a part of a third
   clients_.finish();
-  expect_answer(resting, "+OK");
-  expect_answer(resting, "+PONG");
-  ASSERT_TRUE(resting.send(kPut.substr(20)));
-  expect_answer(resting, "+OK");
-  expect_end(resting);
+  expect_answer(idle_client, "+OK");
+  expect_answer(idle_client, "+PONG");
+  ASSERT_TRUE(idle_client.send(kPut.substr(20)));
+  expect_answer(idle_client, "+OK");
+  expect_end(idle_client);
   EXPECT_EQ(puts_, 2);
 }
 
-// One that rests for ever does not hold the process.
-TEST_F(Shutdown, AClientThatNeverEndsIsLeftBehind) {
-  Socket resting = client();
-  ASSERT_TRUE(resting.send(kPing));
-  expect_answer(resting, "+PONG");
+// A client that never closes its connection does not keep the process running.
+TEST_F(Shutdown, DoesNotWaitForClientThatNeverCloses) {
+  Socket idle_client = client();
+  ASSERT_TRUE(idle_client.send(kPing));
+  expect_answer(idle_client, "+PONG");
   clients_.finish();
   run_until([&] { return clients_.ended(); });
-  EXPECT_EQ(found(resting), 'e');
+  EXPECT_EQ(peek(idle_client), 'e');
 }
 
-// A connection may have been accepted with its turn still to come. Another process has the listener then, and
-// this one ends as soon as nothing is open.
-TEST_F(Shutdown, AHandOverWaitsForWhatIsAcceptedAlready) {
+// A connection may have been accepted while its handler has not run yet. At a handover another process has
+// the listener, and this one exits as soon as no connection is open, so the handover must wait for the
+// handler.
+TEST_F(Shutdown, HandoverWaitsForAcceptedConnections) {
   const Socket listener(::dup(clients_.listener()));
   std::vector<Socket> waiting;
   for (int i = 0; i < 3; ++i) waiting.push_back(client());
-  io_.run_one();  // the first one's turn
-  size_t given = 0;
-  clients_.hand_over([&](const relay::ClientFrame&, int) { ++given; });
+  io_.run_one();  // runs the handler of the first connection
+  size_t handed_over = 0;
+  clients_.hand_over([&](const relay::ClientFrame&, int) { ++handed_over; });
   run_until([&] { return clients_.answered(); });
   ASSERT_EQ(::fcntl(listener.fd(), F_SETFL, O_NONBLOCK), 0);
   size_t left = 0;
   while (listener.accept().open()) ++left;
-  EXPECT_EQ(given + left, waiting.size());
+  EXPECT_EQ(handed_over + left, waiting.size());
 }
 
-// At the limit of connections one goes for another's sake: what crosses its end is thrown away, and the
-// client sees no reset; the other one waits for its place meanwhile.
-TEST_F(Shutdown, ARequestThatCrossesTheEndForAnothersSakeIsNotReset) {
-  std::vector<Socket> resting;
+// At the limit of connections an idle one is closed to make room for another. Bytes that arrive during the
+// close are discarded, and the client sees no reset; the new connection waits for its place meanwhile.
+TEST_F(Shutdown, DoesNotResetIdleClientClosedToMakeRoom) {
+  std::vector<Socket> idle_clients;
   for (int i = 0; i < 16; ++i) {
-    resting.push_back(client());
-    ASSERT_TRUE(resting.back().send(kPing));
-    expect_answer(resting.back(), "+PONG");
+    idle_clients.push_back(client());
+    ASSERT_TRUE(idle_clients.back().send(kPing));
+    expect_answer(idle_clients.back(), "+PONG");
   }
   Socket next = client();
   ASSERT_TRUE(next.send(kPut));
-  const auto over = [](const Socket& each) { return found(each) != '-'; };
-  run_until([&] { return std::any_of(resting.begin(), resting.end(), over); });
-  const auto gone = std::find_if(resting.begin(), resting.end(), over);
-  EXPECT_EQ(found(*gone), 'e');
-  ASSERT_TRUE(gone->send(kPut));
+  const auto is_closed = [](const Socket& each) { return peek(each) != '-'; };
+  run_until([&] { return std::any_of(idle_clients.begin(), idle_clients.end(), is_closed); });
+  const auto closed_client = std::find_if(idle_clients.begin(), idle_clients.end(), is_closed);
+  EXPECT_EQ(peek(*closed_client), 'e');
+  ASSERT_TRUE(closed_client->send(kPut));
   expect_answer(next, "+OK");
   tcp_info info{};
   socklen_t size = sizeof info;
-  ASSERT_EQ(::getsockopt(gone->fd(), IPPROTO_TCP, TCP_INFO, &info, &size), 0);
+  ASSERT_EQ(::getsockopt(closed_client->fd(), IPPROTO_TCP, TCP_INFO, &info, &size), 0);
   EXPECT_EQ(info.tcpi_state, TCP_CLOSE_WAIT) << "it was reset";
   EXPECT_EQ(puts_, 1);
 }
 
-// The relay stands still for longer than a command may take, and the rest of many comes meanwhile: more than
-// one look at the system shows, so that its clock strikes before some are read.
-TEST_F(Shutdown, ACommandThatIsThereWholeIsServedHoweverLate) {
-  relay::Clients many(
+// The relay is stalled for longer than a command may take, and the rest of many commands arrives
+// meanwhile. They are more than one poll of the event loop returns, so the command timer expires before some
+// are read.
+TEST_F(Shutdown, ServesCompleteCommandsReadAfterTheirTimeLimit) {
+  relay::Clients clients(
       io_, {boost::asio::ip::address_v4::loopback(), 0}, 400,
       [](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) { answer("+OK"); });
-  std::vector<Socket> crowd;
+  std::vector<Socket> connections;
   for (int i = 0; i < 250; ++i) {
-    crowd.push_back(Socket::connect(many.address().port()));
-    ASSERT_TRUE(crowd.back().send(kPut.substr(0, 20)));
+    connections.push_back(Socket::connect(clients.address().port()));
+    ASSERT_TRUE(connections.back().send(kPut.substr(0, 20)));
   }
   while (io_.poll() > 0) continue;
   std::this_thread::sleep_for(std::chrono::milliseconds(2100));
-  for (const Socket& each : crowd) ASSERT_TRUE(each.send(kPut.substr(20)));
-  for (Socket& each : crowd) expect_answer(each, "+OK");
+  for (const Socket& each : connections) ASSERT_TRUE(each.send(kPut.substr(20)));
+  for (Socket& each : connections) expect_answer(each, "+OK");
 }
 
-// The whole relay: it stood still while its time to close came, and requests with it. It ends in the turn in
-// which nothing is open any more, not before the last of them has its answer.
-TEST(ShutdownOfTheRelay, EndsOnlyWhenEachClientHasItsAnswer) {
+// The whole relay is stalled while its time to close passes and requests arrive. It ends when no connection
+// is open any more, and not before the last request has its answer.
+TEST(RelayShutdown, EndsOnlyAfterEachClientHasItsAnswer) {
   const Folder folder;
   Discovery discovery;
   Host host;
@@ -233,28 +235,30 @@
   inside.create(config_json(discovery.address(), {member_json("s-1", host.address(), 7)}), folder.path);
   while (port.wait_for(std::chrono::seconds(0)) != std::future_status::ready) inside.io.run_one();
   inside.relay->stop();
-  std::vector<Socket> late;
+  std::vector<Socket> late_clients;
   const uint16_t at = port.get();
   for (int i = 0; i < 3; ++i) {
-    late.push_back(Socket::connect(at));
-    ASSERT_TRUE(late.back().send(kPing));
+    late_clients.push_back(Socket::connect(at));
+    ASSERT_TRUE(late_clients.back().send(kPing));
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the loop stands still: it closes at 0.5 s
+  std::this_thread::sleep_for(
+      std::chrono::milliseconds(600));  // stalls the event loop; closing is due at 0.5 s
   std::thread clients([&] {
-    for (Socket& each : late) {
+    for (Socket& each : late_clients) {
       EXPECT_EQ(each.line(), "+PONG");
       EXPECT_TRUE(each.ended());
       each.close();
     }
   });
-  inside.io.run();  // until it has ended by itself
+  inside.io.run();  // returns when the relay has ended by itself
   clients.join();
 }
 
-// A reset takes along what the system still holds back of small writes: none is, to clients, to hosts, and of
-// notices. By the port that a connection leads to; the test's own ends lead to others.
-TEST(ConnectionsOfTheRelay, HoldNoSmallWriteBack) {
-  const auto at_once = [](uint16_t port) {
+// A reset discards small writes that the kernel still delays, so TCP_NODELAY must be set on connections to
+// clients, to endpoints and to discovery. The relay's descriptors are found by their peer port; the test's
+// own ends have other peer ports.
+TEST(RelayConnections, DisableDelayOfSmallWrites) {
+  const auto has_no_delay = [](uint16_t port) {
     for (int fd = 0; fd < 1024; ++fd) {
       sockaddr_in peer{};
       socklen_t size = sizeof peer;
@@ -277,13 +281,13 @@
   Socket client = Socket::connect(port.get());
   ASSERT_TRUE(client.send(put_bytes("a1", "c=unsafe,d=60000,dest=7")));
   EXPECT_EQ(client.line(), "+OK");
-  EXPECT_TRUE(at_once(client.port()));
+  EXPECT_TRUE(has_no_delay(client.port()));
   host.next();
-  EXPECT_TRUE(at_once(host.port()));
+  EXPECT_TRUE(has_no_delay(host.port()));
   host.answer("500");
   EXPECT_EQ(discovery.notice()["id"], "a1");
   const std::string address = discovery.address();
-  EXPECT_TRUE(at_once(static_cast<uint16_t>(std::stoi(address.substr(address.rfind(':') + 1)))));
+  EXPECT_TRUE(has_no_delay(static_cast<uint16_t>(std::stoi(address.substr(address.rfind(':') + 1)))));
 }
 
 }  // namespace
