--- a/tests/support/transcript.cpp
+++ b/tests/support/transcript.cpp
@@ -114,7 +114,7 @@
 }
 
 // Placeholders are numbered in the order of the text, whatever the order of the rules.
-std::string Transcript::placed(const std::string& text) {
+std::string Transcript::with_placeholders(const std::string& text) {
   struct Found {
     size_t length = 0;
     const Rule* rule = nullptr;
@@ -141,12 +141,12 @@
 
 void Transcript::title(const std::string& text) { text_ += "# " + text + "\n"; }
 
-void Transcript::note(const std::string& text) { text_ += "\n== " + placed(text) + "\n"; }
+void Transcript::note(const std::string& text) { text_ += "\n== " + with_placeholders(text) + "\n"; }
 
 void Transcript::said(const std::string& from, const std::string& to, const std::string& head,
                       const std::string& what) {
-  text_ += "\n" + from + " -> " + to + ": " + placed(head) + "\n";
-  for (const std::string& line : lines_of(placed(what))) {
+  text_ += "\n" + from + " -> " + to + ": " + with_placeholders(head) + "\n";
+  for (const std::string& line : lines_of(with_placeholders(what))) {
     text_ += (line.empty() ? "" : "    ") + line.substr(0, kMaxLineBytes) +
              (line.size() > kMaxLineBytes ? " ...\n" : "\n");
   }
--- a/tests/support/transcript.h
+++ b/tests/support/transcript.h
@@ -41,7 +41,7 @@
   void check() const;  // fails the test with the result of judge(), unless that is empty
 
  private:
-  std::string placed(const std::string& text);
+  std::string with_placeholders(const std::string& text);
 
   std::string path_;
   std::string text_;
