--- a/tests/support/peers.h
+++ b/tests/support/peers.h
@@ -71,9 +71,8 @@
   Request next();  // the next call, on the open connection or on a new one
   void answer(const std::string& status, const std::string& headers = "");
   void raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
-  Socket beside() {
-    return listener_.accept();
-  }  // accepts another connection, while the call on the first waits
+  // Accepts another connection, while the call on the first waits.
+  Socket beside() { return listener_.accept(); }
   bool left() { return connection_.ended(); }  // waits until the caller has closed
   void drop() { connection_.close(); }
   void reset() { connection_.reset(); }
@@ -97,9 +96,8 @@
   int watches() const { return watches_; }     // number of watches opened so far
   nlohmann::json notice();                     // the next notice that was answered 204; null at the deadline
   void refuse(int count) { refuse_ = count; }  // the next `count` posts are answered 503
-  void swallow(int count) {
-    swallow_ = count;
-  }                              // the next `count` posts are read but not answered, with the connection open
+  // The next `count` posts are read but not answered, with the connection open.
+  void swallow(int count) { swallow_ = count; }
   void mute() { mute_ = true; }  // new watches get no answer, as while discovery is down
   int refused() const { return refused_; }
 
@@ -140,8 +138,8 @@
   void succeed(const Program& before) { state_ = before.state(); }    // shares the predecessor's state folder
   void log_at(const std::string& level) { level_ = level; }           // from the next start on
   void meet(const SystemFaults& faults) { faults_ = faults.file(); }  // from the next start on
-  void configure(
-      const std::string& text);  // replaces the configuration file, which is read at start and on SIGHUP
+  // Replaces the configuration file, which is read at start and on SIGHUP.
+  void configure(const std::string& text);
   void signal(int number);
   pid_t pid() const { return child_; }
   int wait();  // exit status, or minus the signal that ended the process
