--- a/tests/relay/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -1,4 +1,5 @@
-// How relays call discovery: how old their lists get where calls fail, and what that asks of discovery.
+// How relays call discovery: how old their lists become when calls fail, and how much work they cause
+// discovery.
 #include "relay/discovery.h"
 
 #include <gtest/gtest.h>
@@ -27,115 +28,120 @@
 using testing::read_request;
 using testing::Socket;
 
-constexpr int kGivenUp = 2000;  // after so long; noticed where an answer would have come
-constexpr int kPath = 150;      // a connection and a request
-constexpr int kHang = 3000;     // a call that hangs is noticed
+// Milliseconds after which discovery gives a call up, noticed when the answer would have arrived.
+constexpr int kGiveUpTime = 2000;
+constexpr int kPathTime = 150;   // ms for a connection and a request
+constexpr int kHangTime = 3000;  // ms after which a hanging call is noticed
 
 struct Fleet {
   int callers;
-  double work;  // ms for a call; each is dealt with, also one that was given up
+  double work;  // ms of discovery's work per call, also for a call that was given up
 };
 
 struct Outcome {
-  int oldest = 0;         // ms from when discovery can be reached until the last caller is answered
-  int given_up = 0;       // calls, from then on
-  double calls = 0;       // of one caller, from then on
-  double down_calls = 0;  // a second, of all callers, before
+  int max_age = 0;        // ms from when discovery is reachable until the last caller is answered
+  int given_up = 0;       // calls given up, from then on
+  double calls = 0;       // calls per caller, from then on
+  double down_calls = 0;  // calls per second of all callers, before that
 };
 
-// All callers lose discovery in one instant and call it as a watch does. It is back at `back`; calls from
-// before end after `takes`, with no answer.
-Outcome play(const Fleet& fleet, int back, int takes, uint64_t seed,
-             milliseconds most = milliseconds::max()) {
-  struct Call {
+// Simulates callers that all lose discovery at the same moment and call it as a watch does. Discovery is
+// reachable again at `back_at`; calls from before that fail after `failure_time`.
+Outcome simulate(const Fleet& fleet, int back_at, int failure_time, uint64_t seed,
+                 milliseconds max_delay = milliseconds::max()) {
+  struct ScheduledCall {
     int at;
     int caller;
-    bool operator>(const Call& other) const { return at > other.at; }
+    bool operator>(const ScheduledCall& other) const { return at > other.at; }
   };
   std::vector<net::Backoff> callers;
-  std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
+  std::priority_queue<ScheduledCall, std::vector<ScheduledCall>, std::greater<>> calls;
   for (int i = 0; i < fleet.callers; ++i) {
     callers.emplace_back(fleet.callers, seed * 1000 + static_cast<uint64_t>(i));
-    calls.push({static_cast<int>(callers.back().next(most).count()), i});
+    calls.push({static_cast<int>(callers.back().next(max_delay).count()), i});
   }
   Outcome out;
-  double busy = back;  // until then discovery has work
-  int after = 0;
-  for (int done = 0; done < fleet.callers && calls.top().at < back + 60'000;) {
-    const Call call = calls.top();
+  double busy_until = back_at;  // time until which discovery is busy
+  int calls_when_back = 0;
+  for (int answered = 0; answered < fleet.callers && calls.top().at < back_at + 60'000;) {
+    const ScheduledCall call = calls.top();
     calls.pop();
-    int failed_in = takes;
-    if (call.at >= back) {
-      ++after;
-      busy = std::max(busy, static_cast<double>(call.at)) + fleet.work;
-      const int in = static_cast<int>(busy) - call.at;
-      if (in <= kGivenUp) {
-        out.oldest = std::max(out.oldest, call.at + in + kPath - back);
-        ++done;
+    int fails_after = failure_time;
+    if (call.at >= back_at) {
+      ++calls_when_back;
+      busy_until = std::max(busy_until, static_cast<double>(call.at)) + fleet.work;
+      const int answer_time = static_cast<int>(busy_until) - call.at;
+      if (answer_time <= kGiveUpTime) {
+        out.max_age = std::max(out.max_age, call.at + answer_time + kPathTime - back_at);
+        ++answered;
         continue;
       }
       ++out.given_up;
-      failed_in = kGivenUp + kPath;
+      fails_after = kGiveUpTime + kPathTime;
     } else {
-      out.down_calls += 1000.0 / back;
+      out.down_calls += 1000.0 / back_at;
     }
-    const int ended = call.at + failed_in;
-    calls.push(
-        {ended + static_cast<int>(callers[call.caller].again(milliseconds(failed_in)).count()), call.caller});
+    const int ended = call.at + fails_after;
+    calls.push({ended + static_cast<int>(callers[call.caller].again(milliseconds(fails_after)).count()),
+                call.caller});
   }
-  if (!calls.empty()) out.oldest = 60'000;
-  out.calls = static_cast<double>(after) / fleet.callers;
+  if (!calls.empty()) out.max_age = 60'000;
+  out.calls = static_cast<double>(calls_when_back) / fleet.callers;
   return out;
 }
 
-// As measured and as the operators' days have it: what a whole fleet asks is up to 5.4 s of discovery's work.
+// One call from each caller of a fleet is up to 5.4 s of discovery's work, as measured and as on the
+// operators' days.
 const std::vector<Fleet> kFleets = {{1, 300}, {6, 313},  {10, 150},  {30, 130},
                                     {60, 83}, {100, 50}, {300, 17.9}};
 
-// Down for any time, and whether that shows at once, after 2 s, or not at all: discovery gives nobody up.
-TEST(Pace, LeavesNoCallerWithoutNewsForSixSecondsOnceDiscoveryIsBack) {
+// Discovery is down for various times, and calls fail at once, after 2 s, or only when a hang is noticed.
+// Discovery must give up no call.
+TEST(CallPacing, AnswersAllCallersWithinSixSecondsAfterOutage) {
   for (const Fleet& fleet : kFleets) {
     Outcome worst;
-    for (const int takes : {kPath / 2, kGivenUp + kPath, kHang}) {
-      for (const int back : {1, 1500, 3300, 5885, 8000, 11'200, 22'000, 120'000}) {
+    for (const int failure_time : {kPathTime / 2, kGiveUpTime + kPathTime, kHangTime}) {
+      for (const int back_at : {1, 1500, 3300, 5885, 8000, 11'200, 22'000, 120'000}) {
         for (uint64_t seed = 1; seed <= 20; ++seed) {
-          const Outcome out = play(fleet, back, takes, seed);
-          worst.oldest = std::max(worst.oldest, out.oldest);
+          const Outcome out = simulate(fleet, back_at, failure_time, seed);
+          worst.max_age = std::max(worst.max_age, out.max_age);
           worst.given_up = std::max(worst.given_up, out.given_up);
-          if (back > 10'000) worst.down_calls = std::max(worst.down_calls, out.down_calls);
+          if (back_at > 10'000) worst.down_calls = std::max(worst.down_calls, out.down_calls);
         }
       }
     }
-    EXPECT_LT(worst.oldest, 5900) << fleet.callers;
+    EXPECT_LT(worst.max_age, 5900) << fleet.callers;
     EXPECT_EQ(worst.given_up, 0) << fleet.callers;
     EXPECT_LE(worst.down_calls, std::max(9.0, 0.28 * fleet.callers)) << fleet.callers;
   }
 }
 
-// Slower than any that was seen: more than 6 s of work cannot be done in 6 s, but nobody is left behind.
-TEST(Pace, ComesThroughADiscoveryThatIsTooSlow) {
+// Discovery is slower than any that was seen: more than 6 s of work cannot be done in 6 s, but every caller
+// is answered.
+TEST(CallPacing, RecoversWithOverloadedDiscovery) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    const Outcome out = play({300, 22}, 8000, kGivenUp + kPath, seed);
-    EXPECT_LT(out.oldest, 12'000);
+    const Outcome out = simulate({300, 22}, 8000, kGiveUpTime + kPathTime, seed);
+    EXPECT_LT(out.max_age, 12'000);
     EXPECT_LT(out.calls, 2);
   }
 }
 
-// SIGHUP moves all at once, and 4 s later all counts as told: 3 s of work, as on the operators' days.
-TEST(Pace, TellsAFleetThatMovesWithinFourSeconds) {
+// SIGHUP makes all callers change the address at once, and everything counts as known 4 s later: 3 s of
+// work, as on the operators' days.
+TEST(CallPacing, AnswersFleetWithinFourSecondsOfAddressChange) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    EXPECT_LT(play({300, 10.1}, 0, kPath, seed, milliseconds(3000)).oldest, 3600);
+    EXPECT_LT(simulate({300, 10.1}, 0, kPathTime, seed, milliseconds(3000)).max_age, 3600);
   }
 }
 
-// A discovery whose answers the test decides, and a watch on it that runs beside. The fleet is so large that
-// a pause drawn over its size would show.
-class Script : public ::testing::TestWithParam<std::string> {
+// A discovery whose answers the test decides, and a watch on it in another thread. The fleet is so large
+// that a delay drawn over its size would show.
+class DiscoveryScript : public ::testing::TestWithParam<std::string> {
  protected:
-  Script() { bind(); }
-  ~Script() override {
+  DiscoveryScript() { bind(); }
+  ~DiscoveryScript() override {
     io_.stop();
-    if (runner_.joinable()) runner_.join();
+    if (loop_thread_.joinable()) loop_thread_.join();
   }
 
   void start() {
@@ -144,15 +150,15 @@
   void start(Watch::Revision revision) {
     watch_ = std::make_unique<Watch>(
         io_, net::parse_address("127.0.0.1:" + std::to_string(port_)), ListNames{}, std::move(revision),
-        [this](const HostList& list) { told_ = list.revision; }, [this] { ++current_; },
+        [this](const HostList& list) { revision_ = list.revision; }, [this] { ++current_; },
         Watch::Pace{1000, false, 43});
-    runner_ = std::thread([this] { io_.run(); });
+    loop_thread_ = std::thread([this] { io_.run(); });
   }
   void move(uint16_t port) {
     boost::asio::post(io_, [this, port] { watch_->move({boost::asio::ip::address_v4::loopback(), port}); });
   }
 
-  // Refuses connections until it listens.
+  // Binds an address that refuses connections until listen().
   void bind() {
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -169,7 +175,7 @@
     EXPECT_TRUE(read_request(out));
     return out;
   }
-  // Blank lines on a connection until the next call comes, which has to be in time.
+  // Sends blank lines on a connection until the next call arrives, which has to be in time.
   Socket call_after_blanks(const Socket& connection) {
     const auto since = Clock::now();
     connection.send(kHeader);
@@ -187,10 +193,10 @@
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
     ASSERT_TRUE(connection.send(kHeader + size + line + "\r\n"));
   }
-  static void wait_for(const std::atomic<int64_t>& what, int64_t value) {
+  static void wait_for(const std::atomic<int64_t>& counter, int64_t value) {
     const auto until = Clock::now() + milliseconds(kDeadlineMs);
-    while (what < value && Clock::now() < until) std::this_thread::sleep_for(milliseconds(5));
-    ASSERT_GE(what, value);
+    while (counter < value && Clock::now() < until) std::this_thread::sleep_for(milliseconds(5));
+    ASSERT_GE(counter, value);
   }
 
   using Clock = std::chrono::steady_clock;
@@ -198,28 +204,28 @@
   boost::asio::io_context io_;
   Socket socket_;
   uint16_t port_ = 0;
-  std::atomic<int64_t> calls_ = 0;  // that the watch began
-  std::atomic<int64_t> told_ = 0;
-  std::atomic<int64_t> current_ = 0;  // times that all was told
+  std::atomic<int64_t> calls_ = 0;  // calls that the watch has begun
+  std::atomic<int64_t> revision_ = 0;
+  std::atomic<int64_t> current_ = 0;  // how often everything was reported as read
   std::unique_ptr<Watch> watch_;
-  std::thread runner_;
+  std::thread loop_thread_;
 };
 
-using Call = Script;
+using DiscoveryCall = DiscoveryScript;
 
-// Whatever becomes of a call, what discovery has is told within 6 s of that call's beginning.
-TEST_P(Call, IsMadeAgainInTime) {
-  const std::string& how = GetParam();
-  std::vector<Socket> held;
+// Whatever happens to a call, what discovery has is known within 6 s of the start of that call.
+TEST_P(DiscoveryCall, IsRepeatedInTime) {
+  const std::string& failure = GetParam();
+  std::vector<Socket> connections;
   Clock::time_point since;
-  if (how == "Refused") {
+  if (failure == "Refused") {
     start();
     wait_for(calls_, 2);
     since = Clock::now();
     listen();
-  } else if (how == "ThatNeverComesUp") {
+  } else if (failure == "ThatNeverComesUp") {
     listen(0);
-    Socket in_the_way = Socket::connect(port_);  // the queue of those not accepted is full
+    Socket in_the_way = Socket::connect(port_);  // fills the queue of connections that are not accepted
     start();
     wait_for(calls_, 2);
     since = Clock::now();
@@ -227,33 +233,33 @@
   } else {
     listen();
     start();
-    held.push_back(call(socket_));
+    connections.push_back(call(socket_));
     since = Clock::now();
     const std::string half = "28\r\n{\"revision\":7,\"complete\":true,\"memb";
-    if (how == "Unavailable") held[0].send("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
-    if (how == "Reset") held[0].reset();
-    if (how == "CutInTheHeader") held[0].send(kHeader.substr(0, 20)), held[0].close();
-    if (how == "CutAfterTheHeader") held[0].send(kHeader), held[0].close();
-    if (how == "CutInTheList") held[0].send(kHeader + half), held[0].close();
-    if (how == "SilentAfterTheHeader") held[0].send(kHeader);
-    if (how == "SilentInTheList") held[0].send(kHeader + half);
-    if (how == "SilentFromTheFirst") held[0].send("");
+    if (failure == "Unavailable") connections[0].send("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
+    if (failure == "Reset") connections[0].reset();
+    if (failure == "CutInTheHeader") connections[0].send(kHeader.substr(0, 20)), connections[0].close();
+    if (failure == "CutAfterTheHeader") connections[0].send(kHeader), connections[0].close();
+    if (failure == "CutInTheList") connections[0].send(kHeader + half), connections[0].close();
+    if (failure == "SilentAfterTheHeader") connections[0].send(kHeader);
+    if (failure == "SilentInTheList") connections[0].send(kHeader + half);
+    if (failure == "SilentFromTheFirst") connections[0].send("");
   }
   Socket next = call(socket_);
   answer(next, 7);
-  wait_for(told_, 7);
+  wait_for(revision_, 7);
   EXPECT_LT(std::chrono::duration_cast<milliseconds>(Clock::now() - since).count(), 6000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Failed, Call,
+INSTANTIATE_TEST_SUITE_P(Failures, DiscoveryCall,
                          ::testing::Values("Refused", "ThatNeverComesUp", "Unavailable", "Reset",
                                            "CutInTheHeader", "CutAfterTheHeader", "CutInTheList",
                                            "SilentAfterTheHeader", "SilentInTheList", "SilentFromTheFirst"),
                          [](const auto& one) { return one.param; });
 
-// SIGHUP while a call is out: the new address is called within what is left of 4 s, what the old one still
-// says is heard, and its end changes nothing.
-TEST_F(Script, MovesWhileACallIsOut) {
+// SIGHUP during a call: the new address is called within the rest of 4 s, what the old one still sends is
+// read, and its end has no effect.
+TEST_F(DiscoveryScript, ChangesAddressDuringCall) {
   listen();
   start();
   Socket old = call(socket_);
@@ -265,17 +271,17 @@
   const auto since = Clock::now();
   move(port_);
   answer(old, 8);
-  wait_for(told_, 8);
+  wait_for(revision_, 8);
   Socket next = call(socket_);
   EXPECT_LT(std::chrono::duration_cast<milliseconds>(Clock::now() - since).count(), 4000);
   old.reset();
   answer(next, 9);
-  wait_for(told_, 9);
+  wait_for(revision_, 9);
 }
 
-// New configurations in quick succession: 4 s after the first of them all counts as told, wherever the last
-// one points.
-TEST(Watch, CallsInTimeThroughMovesInSeries) {
+// Several address changes in quick succession: everything counts as known 4 s after the first, whichever
+// address the last one names.
+TEST(DiscoveryWatch, CallsInTimeDuringSeveralAddressChanges) {
   constexpr int kWatches = 60;
   boost::asio::io_context io;
   std::vector<Socket> listeners;
@@ -304,36 +310,37 @@
   EXPECT_EQ(called.size(), kWatches);
 }
 
-// Blank lines say that nothing has changed: to a process that knows no list they say nothing, and it asks
-// anew in time. Once there is a list they hold the watch.
-TEST_F(Script, BlankLinesAreNoAnswerWhereNoListIsKnown) {
+// Blank lines say that nothing has changed. To a process without a list they say nothing, and it calls again
+// in time. Once there is a list they keep the watch open.
+TEST_F(DiscoveryScript, BlankLinesAreNoAnswerWithoutKnownList) {
   listen();
-  start([this] { return told_ > 0 ? told_.load() : -1; });
+  start([this] { return revision_ > 0 ? revision_.load() : -1; });
   const Socket first = call(socket_);
   const Socket second = call_after_blanks(first);
   EXPECT_EQ(current_, 0);
   answer(second, 7);
-  wait_for(told_, 7);
+  wait_for(revision_, 7);
   second.send("1\r\n\n\r\n");
   wait_for(current_, 2);
 }
 
-// A timer whose time is over in the very turn in which something else ends it: its handler is called all the
-// same. `first` is called ahead of the timers that ran out while the loop stood still.
-struct Turn {
+// Runs a timer whose time is over in the same turn of the event loop in which something else cancels it; its
+// handler is called all the same. `first` is called before the timers that expired while the loop stood
+// still.
+struct EventLoopTurn {
   using Clock = std::chrono::steady_clock;
   template <class First>
-  void run(milliseconds stands, First first) {
+  void run(milliseconds delay, First first) {
     boost::asio::steady_timer ahead(io, Clock::now() - std::chrono::hours(1));
     ahead.async_wait([first](const auto&) { first(); });
-    std::this_thread::sleep_for(stands);
+    std::this_thread::sleep_for(delay);
     io.poll();
   }
   boost::asio::io_context io;
 };
 
-TEST(Crossing, AWatchThatIsClosedAsItsPauseEndsCallsNoMore) {
-  Turn turn;
+TEST(DiscoveryWatch, MakesNoCallIfClosedAsDelayEnds) {
+  EventLoopTurn turn;
   int calls = 0;
   Watch watch(
       turn.io, net::parse_address("127.0.0.1:9"), ListNames{}, [&] { return ++calls; }, [](const auto&) {},
@@ -343,8 +350,8 @@
   EXPECT_TRUE(turn.io.stopped());  // nothing is left to do
 }
 
-TEST(Crossing, AFollowerThatIsClosedAsItsPauseEndsCallsNoMore) {
-  Turn turn;
+TEST(ListFollower, MakesNoCallIfClosedAsDelayEnds) {
+  EventLoopTurn turn;
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:9")};
   registry::ListFollower::Listener listener;
@@ -355,8 +362,8 @@
   EXPECT_TRUE(turn.io.stopped());
 }
 
-// Where lists are pushed, what the agent has counts from the first moment.
-TEST(Watch, CallsAnAgentOfItsOwnInTheFirstTurn) {
+// If lists are pushed, what the agent has counts as known from the start.
+TEST(DiscoveryWatch, CallsOwnAgentAtOnce) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     boost::asio::io_context io;
     int calls = 0;
@@ -368,8 +375,8 @@
   }
 }
 
-// The registry's members are called at the same pace.
-TEST_F(Script, AMemberThatFailsIsFollowedByAnotherCallInTime) {
+// The members of the registry are called at the same pace.
+TEST_F(DiscoveryScript, CallsAgainInTimeAfterMemberFails) {
   listen();
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
@@ -379,40 +386,40 @@
   listener.on_list = [](const nlohmann::json&) {};
   listener.current = [] {};
   registry::ListFollower follower(io_, settings, nullptr, listener);
-  runner_ = std::thread([this] { io_.run(); });
+  loop_thread_ = std::thread([this] { io_.run(); });
   Socket failed = call(socket_);
   const auto since = Clock::now();
   failed.reset();
   const Socket next = call(socket_);
   EXPECT_LT(std::chrono::duration_cast<milliseconds>(Clock::now() - since).count(), 6000);
   io_.stop();
-  runner_.join();
+  loop_thread_.join();
 }
 
-TEST_F(Script, AMembersBlankLinesAreNoAnswerWhereNoListIsKnown) {
+TEST_F(DiscoveryScript, MemberBlankLinesAreNoAnswerWithoutKnownList) {
   listen();
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
   settings.callers = 1000;
   settings.seed = 43;
   registry::ListFollower::Listener listener;
-  listener.on_list = [this](const nlohmann::json& list) { told_ = list.at("revision"); };
+  listener.on_list = [this](const nlohmann::json& list) { revision_ = list.at("revision"); };
   listener.current = [this] { ++current_; };
   registry::ListFollower follower(io_, settings, nullptr, listener);
-  runner_ = std::thread([this] { io_.run(); });
+  loop_thread_ = std::thread([this] { io_.run(); });
   const Socket first = call(socket_);
   const Socket second = call_after_blanks(first);
   EXPECT_EQ(current_, 0);
   answer(second, 7);
-  wait_for(told_, 7);
+  wait_for(revision_, 7);
   second.send("1\r\n\n\r\n");
   wait_for(current_, 2);
   io_.stop();
-  runner_.join();
+  loop_thread_.join();
 }
 
-// The relay's own: a list with no host is none, whatever its revision.
-TEST(Watch, ThatHasOnlyBlankLinesIsOpenedAnewWhereNoHostIsKnown) {
+// A list without endpoints counts as no list, whatever its revision.
+TEST(DiscoveryWatch, IsReopenedIfItHasOnlyBlankLinesAndNoEndpointIsKnown) {
   testing::Discovery discovery;
   testing::Program program(testing::config_json(discovery.address(), {}));
   program.start();
@@ -425,8 +432,9 @@
   EXPECT_EQ(program.wait(), 0);
 }
 
-// A drain that comes while a call's connection comes up: the call is not begun there.
-TEST(Drain, IsHeededByACallWhoseConnectionComesUp) {
+// An endpoint drains while the connection of a call to it is being established: the call is not started
+// there.
+TEST(Drain, PreventsCallWhoseConnectionIsBeingEstablished) {
   using namespace testing;
   const Socket leaving(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in at{};
@@ -449,7 +457,7 @@
     client.send(put_bytes(id, "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination)));
     EXPECT_EQ(client.line(), "+OK");
   };
-  const auto connecting = [&] {  // as the system lists it: to that port, its SYN unanswered
+  const auto connecting = [&] {  // a connection to that port in state SYN_SENT is listed by the system
     char port[8];
     std::snprintf(port, sizeof port, ":%04X", leaving.port());
     std::ifstream list("/proc/net/tcp");
@@ -466,7 +474,7 @@
   put("00000000000000a2", 8);
   discovery.tell(list_json(
       2, false, {member_json("s-1", address, 7, "leaving"), member_json("s-2", host.address(), 8)}));
-  EXPECT_EQ(host.next().headers.at("x-call-id"), "00000000000000a2");  // the list is heard
+  EXPECT_EQ(host.next().headers.at("x-call-id"), "00000000000000a2");  // the list has been read
   host.answer("200");
   ASSERT_TRUE(connecting());
   leaving.accept();
@@ -476,7 +484,7 @@
   host.answer("200");
   program.signal(SIGTERM);
   EXPECT_EQ(program.wait(), 0);
-  EXPECT_EQ(up.line(), "");  // ended, and nothing came on it
+  EXPECT_EQ(up.line(), "");  // closed, and nothing arrived on it
 }
 
 }  // namespace
--- a/tests/relay/handover_frames_test.cpp
+++ b/tests/relay/handover_frames_test.cpp
@@ -1,4 +1,4 @@
-// Frames of a hand-over that lack something, are cut short or say nothing, and descriptors that find no room.
+// Hand-over frames that are incomplete, truncated or invalid, and descriptors for which there is no room.
 #include "relay/handover_frames.h"
 
 #include <fcntl.h>
@@ -19,46 +19,46 @@
 using relay::Descriptor;
 using relay::InFlightCallFrame;
 
-// A new process that has taken over from one that the test plays.
+// A relay that has taken over from a predecessor played by the test.
 class HandoverFrames : public ::testing::Test {
  protected:
   HandoverFrames() { side_.config["control"] = "127.0.0.1:0"; }
 
-  void take_over(int descriptors = 0) {
-    next_.emplace(side_.config);
-    before_.emplace(next_->state());
-    started_ = std::async(std::launch::async, [this, descriptors] { next_->start(descriptors); });
-    before_->await_asked();
-    ASSERT_TRUE(before_->handover.send_folder_lock());
+  void start_takeover(int descriptors = 0) {
+    successor_.emplace(side_.config);
+    predecessor_.emplace(successor_->state());
+    started_ = std::async(std::launch::async, [this, descriptors] { successor_->start(descriptors); });
+    predecessor_->await_asked();
+    ASSERT_TRUE(predecessor_->handover.send_folder_lock());
   }
-  void open() {
-    before_->give_listener();
+  void finish_start() {
+    predecessor_->give_listener();
     started_.get();
   }
-  // It has the figure, and serves what was handed over to it properly.
+  // The relay reports the number of rejected frames and serves an inherited client.
   void expect_serving_after(int rejected) {
-    Socket client = before_->give_client();
+    Socket client = predecessor_->give_client();
     EXPECT_EQ(ping(client), "+PONG");
     const std::string figure = "proxy_handover_frames_rejected_total " + std::to_string(rejected) + "\n";
-    EXPECT_NE(next_->operate("GET", "/v1/metrics").second.find(figure), std::string::npos);
+    EXPECT_NE(successor_->operate("GET", "/v1/metrics").second.find(figure), std::string::npos);
   }
 
   Side side_;
-  std::optional<Program> next_;
-  std::optional<Before> before_;
+  std::optional<Program> successor_;
+  std::optional<Before> predecessor_;
   std::future<void> started_;
 };
 
-// A receiver with no free descriptor gets the frame without it: that ended the process.
-TEST_F(HandoverFrames, AClientsFrameWithoutItsDescriptorCostsNothingElse) {
-  take_over();
-  open();
-  EXPECT_TRUE(before_->handover.send_frame(HandoverFrame::kClient, ClientFrame{}.text()));
+// A receiver without a free descriptor gets the frame without its descriptor. This once ended the process.
+TEST_F(HandoverFrames, SkipsClientFrameWithoutDescriptor) {
+  start_takeover();
+  finish_start();
+  EXPECT_TRUE(predecessor_->handover.send_frame(HandoverFrame::kClient, ClientFrame{}.text()));
   expect_serving_after(1);
 }
 
-// Each kind without what it needs, with something else in its place, unreadable, or where it does not belong.
-TEST_F(HandoverFrames, ThatCannotBeUsedAreSkippedAndCounted) {
+// Frames of each kind that lack a part, have a wrong one, are unreadable or do not belong here.
+TEST_F(HandoverFrames, SkipsAndCountsUnusableFrames) {
   const Descriptor file(::open("/dev/null", O_RDWR | O_CLOEXEC));
   const Socket listening = Socket::listen();
   const std::string client = ClientFrame{}.text();
@@ -68,21 +68,21 @@
       R"({"id":"m","outcome":99,"final":false,"took":1,"wait":0,"report":[],"began":true})";
   const std::string wait =
       R"({"id":"m","outcome":1,"final":false,"took":1,"wait":-5,"report":[],"began":true})";
-  take_over();
-  auto& way = before_->handover;
-  EXPECT_TRUE(way.send_frame(HandoverFrame::kCall, "{"));
-  EXPECT_TRUE(way.send_frame(HandoverFrame::kCall, R"({"host":"s-1","since":-1,"messages":{}})"));
-  EXPECT_TRUE(way.send_frame(HandoverFrame::kCall, R"({"host":"s-1","since":1,"messages":{"m":-1}})"));
-  open();
+  start_takeover();
+  auto& handover = predecessor_->handover;
+  EXPECT_TRUE(handover.send_frame(HandoverFrame::kCall, "{"));
+  EXPECT_TRUE(handover.send_frame(HandoverFrame::kCall, R"({"host":"s-1","since":-1,"messages":{}})"));
+  EXPECT_TRUE(handover.send_frame(HandoverFrame::kCall, R"({"host":"s-1","since":1,"messages":{"m":-1}})"));
+  finish_start();
   int sent = 3;
   const auto send = [&](char kind, const std::string& text, int descriptor) {
-    EXPECT_TRUE(way.send_frame(static_cast<HandoverFrame::Kind>(kind), text, descriptor));
+    EXPECT_TRUE(handover.send_frame(static_cast<HandoverFrame::Kind>(kind), text, descriptor));
     ++sent;
   };
   send('S', client, file.get());
   send('S', client, listening.fd());
   for (const std::string& text : {std::string(), std::string("\n"), std::string("[]\n"), huge, future}) {
-    const auto [end, accepted] = before_->accept_client();
+    const auto [end, accepted] = predecessor_->accept_client();
     send('S', text, accepted.fd());
   }
   for (const std::string& text : {std::string(), std::string("\xff\xfe"), outcome, wait}) send('E', text, -1);
@@ -90,55 +90,55 @@
   expect_serving_after(sent);
 }
 
-TEST_F(HandoverFrames, AListenersFrameWithoutAListenerIsMadeGood) {
+TEST_F(HandoverFrames, ListensAnewIfListenerFrameHasNoListener) {
   const Descriptor file(::open("/dev/null", O_RDWR | O_CLOEXEC));
   for (const int descriptor : {-1, file.get()}) {
-    take_over();
-    EXPECT_TRUE(before_->handover.send_frame(HandoverFrame::kListener, "127.0.0.1:1", descriptor));
+    start_takeover();
+    EXPECT_TRUE(predecessor_->handover.send_frame(HandoverFrame::kListener, "127.0.0.1:1", descriptor));
     started_.get();
-    Socket client = next_->client();
+    Socket client = successor_->client();
     EXPECT_EQ(ping(client), "+PONG");
     expect_serving_after(1);
-    before_.reset();
+    predecessor_.reset();
   }
 }
 
-// The same address again, while the process before has it for a moment longer.
-TEST_F(HandoverFrames, AListenersFrameWithoutAListenerWaitsForTheAddress) {
+// The listener's address is taken for a moment longer, as by a predecessor that is still running.
+TEST_F(HandoverFrames, WaitsForAddressIfListenerFrameHasNoListener) {
   std::optional<Socket> taken = Socket::listen();
   const std::string address = "127.0.0.1:" + std::to_string(taken->port());
   side_.config["listen"] = address;
-  take_over();
-  EXPECT_TRUE(before_->handover.send_frame(HandoverFrame::kListener, address));
+  start_takeover();
+  EXPECT_TRUE(predecessor_->handover.send_frame(HandoverFrame::kListener, address));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   taken.reset();
   started_.get();
   expect_serving_after(1);
 }
 
-// The frame waits for room instead of losing its descriptor: no client's request may be lost for it.
-TEST_F(HandoverFrames, ClientsOfAnUpgradeAreServedThoughAFloodHoldsTheDescriptors) {
+// A frame waits for room instead of losing its descriptor, which would lose a client's request.
+TEST_F(HandoverFrames, ServesInheritedClientsWhileFloodHoldsDescriptors) {
   constexpr int kDescriptors = 64;
   side_.config["settings"]["bounds"]["open_cap"] = 1000;
-  take_over(kDescriptors);
+  start_takeover(kDescriptors);
   std::vector<Socket> flood;
-  open();
-  for (int i = 0; i < kDescriptors; ++i) flood.push_back(next_->client());
+  finish_start();
+  for (int i = 0; i < kDescriptors; ++i) flood.push_back(successor_->client());
   std::vector<Socket> clients;
   for (int i = 0; i < 24; ++i) {
-    auto [client, accepted] = before_->accept_client();
+    auto [client, accepted] = predecessor_->accept_client();
     ASSERT_TRUE(client.send(put_bytes("m-" + std::to_string(i), facts("safe", 99))));
-    ASSERT_TRUE(before_->give_client(accepted)) << i;
+    ASSERT_TRUE(predecessor_->give_client(accepted)) << i;
     clients.push_back(std::move(client));
-    std::this_thread::sleep_for(std::chrono::milliseconds(20));  // what is free goes to the flood
+    std::this_thread::sleep_for(std::chrono::milliseconds(20));  // the flood takes free descriptors
   }
   for (size_t i = 0; i < clients.size(); ++i) EXPECT_EQ(clients[i].line(), "+OK") << i;
   flood.clear();
   expect_serving_after(0);
 }
 
-// Any sequence of frames, drawn: the process goes on.
-TEST_F(HandoverFrames, DrawnSequencesNeverEndTheProcess) {
+// No random sequence of frames ends the process.
+TEST_F(HandoverFrames, SurvivesRandomFramesFromPredecessor) {
   const std::vector<std::string> texts = {"",
                                           "{",
                                           "\n",
@@ -152,27 +152,27 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     const auto below = [&](size_t bound) { return random() % bound; };
-    take_over();
+    start_takeover();
     const auto draw = [&](const std::string& of) {
-      const auto [end, accepted] = before_->accept_client();
+      const auto [end, accepted] = predecessor_->accept_client();
       const int descriptors[] = {-1, file.get(), accepted.fd()};
       std::string text = texts[below(texts.size())];
       if (below(3) == 0) text.resize(below(text.size() + 1));
-      EXPECT_TRUE(before_->handover.send_frame(static_cast<HandoverFrame::Kind>(of[below(of.size())]), text,
-                                               descriptors[below(3)]));
+      EXPECT_TRUE(predecessor_->handover.send_frame(static_cast<HandoverFrame::Kind>(of[below(of.size())]),
+                                                    text, descriptors[below(3)]));
     };
     for (int i = 0; i < 20; ++i) draw("FCSEX?");
-    open();
+    finish_start();
     for (int i = 0; i < 100; ++i) draw(kinds);
-    Socket client = before_->give_client();
+    Socket client = predecessor_->give_client();
     EXPECT_EQ(ping(client), "+PONG") << "seed " << seed;
-    next_->kill();
-    before_.reset();
+    successor_->kill();
+    predecessor_.reset();
   }
 }
 
-// The process before is told nonsense by its successor, and still reports the call's end.
-TEST_F(HandoverFrames, DrawnSequencesFromTheSuccessorNeverEndTheProcess) {
+// A predecessor that receives random frames from its successor still reports the end of a call.
+TEST_F(HandoverFrames, SurvivesRandomFramesFromSuccessor) {
   const std::string kinds = "FCLSEX?";
   std::mt19937 random(1);
   side_.start();
@@ -191,8 +191,8 @@
   EXPECT_EQ(side_.program->wait(), 0);
 }
 
-// The process before may be gone, or have nothing more to give, while a place is kept for it.
-TEST(HandoverPlaces, AreGivenToNewClientsWhereNothingComes) {
+// Reserved places must not stay unused if the predecessor is gone or has nothing more to hand over.
+TEST(InheritedPlaces, GoToNewClientsIfUnused) {
   boost::asio::io_context io;
   relay::Clients clients(
       io, {boost::asio::ip::address_v4::loopback(), 0}, 16,
@@ -206,7 +206,7 @@
   EXPECT_EQ(answer, "+PONG\r\n");
 }
 
-TEST(HandoverFrameTexts, AreReadAsTheyWereWritten) {
+TEST(ClientFrameText, IsParsedAsWritten) {
   const ClientFrame client = ClientFrame::parse(ClientFrame{1, 2, 3, true, "*1\r\n$4"}.text());
   EXPECT_EQ(client.since, 1);
   EXPECT_EQ(client.received_at, 2);
--- a/tests/relay/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes of calls, against a host that the test plays.
+// Outcomes of calls to an endpoint that the test plays.
 #include "relay/upstream.h"
 
 #include <atomic>
@@ -13,9 +13,9 @@
 
 class UpstreamTest : public ::testing::Test {
  protected:
-  // Makes one call and runs the loop to its end; the host's part runs beside it.
-  policy::AttemptEnded call(const std::function<void(Host&)>& part, Time timeout = 20'000'000) {
-    std::thread host([&] { part(host_); });
+  // Makes one call and runs the event loop until it ends. `endpoint_part` runs in the endpoint's thread.
+  policy::AttemptEnded call(const std::function<void(Host&)>& endpoint_part, Time timeout = 20'000'000) {
+    std::thread host([&] { endpoint_part(host_); });
     policy::AttemptEnded out = call_to(host_.port(), timeout);
     host.join();
     return out;
@@ -23,7 +23,7 @@
 
   policy::AttemptEnded call_to(uint16_t port, Time timeout) {
     Call next;
-    next.id = ++last_;
+    next.id = ++last_id_;
     next.endpoint = {1, 0};
     next.address = {boost::asio::ip::address_v4::loopback(), port};
     next.call_id = "9b1f03aa5c7e2d41";
@@ -36,10 +36,11 @@
     return *ended_;
   }
 
-  // A bundle of messages a, b, c, of which each outcome is returned by its place.
-  std::vector<policy::AttemptEnded> bundle(const std::function<void(Host&)>& part, std::vector<Time> timeouts,
-                                           const std::vector<bool>& last = {false, false, false}) {
-    std::thread host([&] { part(host_); });
+  // Sends messages a, b, c, … as one batch and returns their ends in this order.
+  std::vector<policy::AttemptEnded> call_batch(const std::function<void(Host&)>& endpoint_part,
+                                               std::vector<Time> timeouts,
+                                               const std::vector<bool>& is_last = {false, false, false}) {
+    std::thread host([&] { endpoint_part(host_); });
     std::vector<Call> calls;
     for (size_t i = 0; i < timeouts.size(); ++i) {
       Call next;
@@ -50,7 +51,7 @@
       next.key = i == 1 ? "" : "k" + next.call_id;
       next.body = std::string(i + 1, 'x');
       next.timeout = timeouts[i];
-      next.last = last[i];
+      next.last = is_last[i];
       calls.push_back(std::move(next));
     }
     ends_.clear();
@@ -64,7 +65,7 @@
     return out;
   }
 
-  static std::string told(const std::string& body, const std::string& headers = "") {
+  static std::string ok_response(const std::string& body, const std::string& headers = "") {
     return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
   }
@@ -78,34 +79,34 @@
 
   boost::asio::io_context io_;
   bool may_start_ = true;
-  bool began_ = false;
+  bool call_started_ = false;
   std::optional<policy::AttemptEnded> ended_;
   std::vector<policy::AttemptEnded> ends_;
-  std::atomic<int> ended_count_ = 0;  // for the host's thread
-  uint64_t last_ = 0;
+  std::atomic<int> ended_count_ = 0;  // read by the endpoint's thread
+  uint64_t last_id_ = 0;
   Host host_;
   Upstream upstream_{io_,
                      {1'000'000, 10'000'000, 16},
                      {"x0", "x1"},
                      [this](const Call&) { return may_start_; },
-                     [this](const policy::AttemptEnded& end, bool began) {
+                     [this](const policy::AttemptEnded& end, bool call_started) {
                        ended_ = end;
                        ends_.push_back(end);
                        ++ended_count_;
-                       began_ = began;
+                       call_started_ = call_started;
                      },
                      [](const policy::HealthCheckEnded&) {}};
 };
 
-TEST_F(UpstreamTest, ReadsEachAnswer) {
+TEST_F(UpstreamTest, MapsEachResponseToOutcome) {
   const policy::AttemptEnded ok = call(answering("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
   EXPECT_EQ(ok.outcome, policy::Outcome::kOk);
   EXPECT_TRUE(ok.final);
   EXPECT_EQ(ok.load_report, (std::vector<float>{0.5, 25}));
   EXPECT_EQ(call(answering("500")).outcome, policy::Outcome::kError);
-  const policy::AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
-  EXPECT_EQ(told.outcome, policy::Outcome::kRejected);
-  EXPECT_EQ(told.retry_after, 1'250'000);
+  const policy::AttemptEnded rejected = call(answering("429", "Retry-After: 1.25\r\n"));
+  EXPECT_EQ(rejected.outcome, policy::Outcome::kRejected);
+  EXPECT_EQ(rejected.retry_after, 1'250'000);
   EXPECT_EQ(call(answering("503")).outcome, policy::Outcome::kRejected);
   EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, policy::Outcome::kNotStarted);
   EXPECT_FALSE(call(answering("504")).final);
@@ -115,13 +116,13 @@
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
 }
 
-TEST_F(UpstreamTest, ABundleIsOneCallAndTellsEachMessagesEnd) {
-  const auto ends = bundle(
+TEST_F(UpstreamTest, SendsBatchInOneCallAndReportsEachOutcome) {
+  const auto ends = call_batch(
       [](Host& host) {
         const auto request = host.next();
         EXPECT_EQ(request.first, "POST /events/bundle HTTP/1.1");
         EXPECT_EQ(request.body, "a ka 1\r\nx\r\nb - 2\r\nxx\r\nc kc 3\r\nxxx\r\n");
-        host.raw(told("c busy\r\na done\r\nb failed\r\n", "Retry-After: 1.5\r\n"));
+        host.raw(ok_response("c busy\r\na done\r\nb failed\r\n", "Retry-After: 1.5\r\n"));
       },
       {20'000'000, 20'000'000, 20'000'000});
   EXPECT_EQ(ends[0].outcome, policy::Outcome::kOk);
@@ -130,10 +131,10 @@
   EXPECT_FALSE(ends[1].final);
   EXPECT_EQ(ends[2].outcome, policy::Outcome::kRejected);
   EXPECT_EQ(ends[2].retry_after, 1'500'000);
-  const auto over = bundle(
+  const auto over = call_batch(
       [](Host& host) {
         host.next();
-        host.raw(told("a void\r\nb used_up\r\n"));
+        host.raw(ok_response("a void\r\nb used_up\r\n"));
       },
       {20'000'000, 20'000'000});
   EXPECT_EQ(over[0].outcome, policy::Outcome::kNotStarted);
@@ -141,19 +142,19 @@
   EXPECT_EQ(over[1].outcome, policy::Outcome::kNotStarted);
   EXPECT_FALSE(over[1].final);
   EXPECT_EQ(host_.connections(), 1);
-  for (const policy::AttemptEnded& end : bundle(answering("503"), {20'000'000, 20'000'000})) {
+  for (const policy::AttemptEnded& end : call_batch(answering("503"), {20'000'000, 20'000'000})) {
     EXPECT_EQ(end.outcome, policy::Outcome::kRejected);
   }
 }
 
-// Its messages may have fared differently: a first line with 200 is no proof for any of them.
-TEST_F(UpstreamTest, AnUnreadableAnswerToABundleIsNobodysProof) {
+// The messages may have different outcomes, so a status line with 200 proves nothing for any of them.
+TEST_F(UpstreamTest, MalformedBatchResponseProvesNoOutcome) {
   for (const std::string body : {"a done\r\n", "a done\r\nb\r\n", "a done\r\na done\r\n",
                                  "a done\r\nz done\r\n", "a done\r\nb well\r\n"}) {
-    const auto ends = bundle(
+    const auto ends = call_batch(
         [&](Host& host) {
           host.next();
-          host.raw(told(body));
+          host.raw(ok_response(body));
         },
         {20'000'000, 20'000'000});
     for (const policy::AttemptEnded& end : ends) {
@@ -163,24 +164,25 @@
   }
 }
 
-// No message is sent again while a call with it is out: the first that might be ends the call for all.
-TEST_F(UpstreamTest, ABundleEndsWithTheFirstMessageThatMayBeSentAgain) {
-  for (const policy::AttemptEnded& end : bundle([](Host& host) { host.next(); }, {200'000, 30'000'000})) {
+// No message may be sent again while a call with it is in flight, so the first one that could be ends the
+// call.
+TEST_F(UpstreamTest, BatchEndsAtFirstTimeoutOfRepeatableMessage) {
+  for (const policy::AttemptEnded& end : call_batch([](Host& host) { host.next(); }, {200'000, 30'000'000})) {
     EXPECT_EQ(end.outcome, policy::Outcome::kTimeout);
     EXPECT_LT(end.latency, 20'000'000);
   }
-  const auto ends = bundle(
+  const auto ends = call_batch(
       [this](Host& host) {
         host.next();
         while (ended_count_ == 0) std::this_thread::yield();
-        host.raw(told("a done\r\nb done\r\n"));
+        host.raw(ok_response("a done\r\nb done\r\n"));
       },
       {200'000, 30'000'000}, {true, false});
   EXPECT_EQ(ends[0].outcome, policy::Outcome::kTimeout);
   EXPECT_EQ(ends[1].outcome, policy::Outcome::kOk);
 }
 
-TEST_F(UpstreamTest, CancellingOneMessageEndsItsBundle) {
+TEST_F(UpstreamTest, CancellingOneMessageEndsItsBatch) {
   std::vector<Call> calls(2);
   for (size_t i = 0; i < calls.size(); ++i) {
     calls[i].id = i;
@@ -194,7 +196,7 @@
   EXPECT_EQ(upstream_.in_flight_count(), 0u);
 }
 
-TEST_F(UpstreamTest, ABrokenConnectionAfterTheLastByteIsAReset) {
+TEST_F(UpstreamTest, ReportsResetAfterCompleteRequest) {
   EXPECT_EQ(call([](Host& host) {
               host.next();
               host.reset();
@@ -202,32 +204,33 @@
             policy::Outcome::kReset);
 }
 
-TEST_F(UpstreamTest, SilenceTimesOutAndEndsTheConnection) {
+TEST_F(UpstreamTest, TimesOutAndClosesConnectionWithoutResponse) {
   EXPECT_EQ(call([](Host& host) { host.next(); }, 200'000).outcome, policy::Outcome::kTimeout);
   EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
-TEST_F(UpstreamTest, ARefusedConnectionNeverRan) {
-  testing::Socket gone = testing::Socket::listen();
-  const uint16_t port = gone.port();
-  gone.close();
+TEST_F(UpstreamTest, ReportsConnectFailedIfConnectionIsRefused) {
+  testing::Socket closed_listener = testing::Socket::listen();
+  const uint16_t port = closed_listener.port();
+  closed_listener.close();
   EXPECT_EQ(call_to(port, 1'000'000).outcome, policy::Outcome::kConnectFailed);
-  EXPECT_FALSE(began_);
+  EXPECT_FALSE(call_started_);
 }
 
-// The host drained, or its destination told another call to wait, while this one's connection came up.
-TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
+// The endpoint drained, or its destination told another call to wait, while this call's connection was
+// established.
+TEST_F(UpstreamTest, ChecksMayStartBeforeFirstByte) {
   may_start_ = false;
   EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, policy::Outcome::kNotStarted);
-  EXPECT_FALSE(began_);
+  EXPECT_FALSE(call_started_);
   may_start_ = true;
   EXPECT_EQ(call(answering("200")).outcome, policy::Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);  // the connection stayed, and no byte was written to it before
 }
 
-// A call on a connection that the host has closed would end as a reset, and may have run.
-TEST_F(UpstreamTest, DoesNotUseAConnectionThatTheHostClosed) {
+// A call on a connection that the endpoint has closed would end as a reset and might have run.
+TEST_F(UpstreamTest, DoesNotReuseConnectionClosedByEndpoint) {
   EXPECT_EQ(call([](Host& host) {
               host.next();
               host.answer("200");
@@ -238,11 +241,11 @@
   EXPECT_EQ(host_.connections(), 2);
 }
 
-// An answer that can never be whole tells only that the call may have run, whatever status it shows: taken
-// for a refusal it would let an unsafe message go twice. The host leaves the connection open, so it is
-// settled long before the time-out, and the connection is not used again.
-TEST_F(UpstreamTest, ASpoiltAnswerMayHaveRun) {
-  int made = 0;
+// A malformed response shows only that the call may have run, whatever its status: taken for a refusal, it
+// would let an unsafe message be sent twice. The endpoint leaves the connection open, so the call has to end
+// long before its timeout, and the connection must not be used again.
+TEST_F(UpstreamTest, ReportsMalformedResponseWhateverItsStatus) {
+  int connections = 0;
   for (const std::string& bytes :
        {std::string("\x01\x02noise with no end"), std::string("HTTP/1.1 2x0 what\r\n\r\n"),
         std::string("HTTP/1.1 503 x\r\nContent-Le"),
@@ -257,11 +260,11 @@
     });
     EXPECT_EQ(end.outcome, policy::Outcome::kMalformedResponse) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
-    EXPECT_EQ(host_.connections(), ++made);
+    EXPECT_EQ(host_.connections(), ++connections);
   }
 }
 
-TEST_F(UpstreamTest, AFirstLineWith200IsTrueWhateverFollows) {
+TEST_F(UpstreamTest, CompleteOkStatusLineProvesDelivery) {
   for (const std::string& bytes :
        {std::string("HTTP/1.1 200 OK\r\n\x01\x02noise"), std::string("HTTP/1.1 200 OK\r\nContent-Le"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
@@ -277,17 +280,17 @@
   }
 }
 
-// The host counts a message as delivered with the line's last byte: of one that breaks off the end is still
-// owed.
-TEST_F(UpstreamTest, AFirstLineThatBreaksOffDeliversNothing) {
+// The endpoint counts a message as delivered with the last byte of the status line. If the line breaks off,
+// the message still has to be delivered.
+TEST_F(UpstreamTest, IncompleteStatusLineProvesNoDelivery) {
   const std::string line = "HTTP/1.1 200 OK\r\n";
   for (size_t cut = 1; cut <= line.size(); ++cut) {
-    for (const bool left :
-         {false, true}) {  // the relay leaves a connection that stays open; or the host ends it
+    // Whether the endpoint leaves the connection open, so that the relay closes it.
+    for (const bool stays_open : {false, true}) {
       const policy::AttemptEnded end = call([&](Host& host) {
         host.next();
         host.raw(line.substr(0, cut));
-        if (!left) return host.drop();
+        if (!stays_open) return host.drop();
         EXPECT_TRUE(host.left());
       });
       EXPECT_EQ(end.outcome, cut == line.size() ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse)
@@ -297,7 +300,7 @@
   }
 }
 
-TEST_F(UpstreamTest, SkipsAnswersAheadOfTheAnswer) {
+TEST_F(UpstreamTest, SkipsInformationalResponses) {
   const policy::AttemptEnded end = call([](Host& host) {
     host.next();
     host.raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
@@ -308,8 +311,8 @@
   EXPECT_EQ(host_.connections(), 1);
 }
 
-// The second copy would be taken for the next call's answer.
-TEST_F(UpstreamTest, DoesNotUseAConnectionAgainThatBroughtMoreThanItsAnswer) {
+// The second copy would be taken for the response to the next call.
+TEST_F(UpstreamTest, DoesNotReuseConnectionWithExtraData) {
   const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
   for (const std::string& bytes : {copy + copy, copy + "noise"}) {
     const int before = host_.connections();
@@ -324,8 +327,8 @@
   }
 }
 
-// A field read as zero would pass for a limit or a load of zero.
-TEST_F(UpstreamTest, DropsAReportThatItCannotRead) {
+// A field that is read as zero would be taken for a limit or a load of zero.
+TEST_F(UpstreamTest, DropsUnreadableLoadReport) {
   for (const std::string report : {"x0=0.5,x1=?", "x0=nan,x1=25", "x0=-1,x1=25", "x0", "x0=0.5 x1=25"}) {
     EXPECT_TRUE(call(answering("200", "X-Load-Report: " + report + "\r\n")).load_report.empty()) << report;
   }
@@ -333,7 +336,7 @@
             (std::vector<float>{0.5, 2}));
 }
 
-TEST_F(UpstreamTest, HeedsNoWaitThatIsNoNumber) {
+TEST_F(UpstreamTest, IgnoresRetryAfterThatIsNotANumber) {
   for (const std::string wait : {"nan", "-5", "soon", "1.5x", "inf"}) {
     const policy::AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
     EXPECT_EQ(end.outcome, policy::Outcome::kRejected);
@@ -341,8 +344,8 @@
   }
 }
 
-// It binds the messages that come while it lasts, too.
-TEST_F(UpstreamTest, HeedsAWaitThatOutlastsEveryMessage) {
+// It also applies to messages that arrive while it lasts.
+TEST_F(UpstreamTest, KeepsRetryAfterThatOutlastsEveryMessage) {
   EXPECT_EQ(call(answering("429", "Retry-After: 300\r\n")).retry_after, 300'000'000);
   EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).retry_after, 3'600'000'000);
 }
