--- a/cli/command.h
+++ b/cli/command.h
@@ -23,7 +23,7 @@
   bool json = false;
 
   void add_to(CLI::App& command);
-  // Returns the addresses in `at`. Throws net::BadInput if one is invalid or there is none.
+  // Returns the addresses in `at`. Throws net::InvalidInput if one is invalid or there is none.
   std::vector<std::string> addresses() const;
   registry::Client client() const;
   // Returns whether print() writes a table: standard output is a terminal and --json is not given.
--- a/cli/lab.cpp
+++ b/cli/lab.cpp
@@ -74,14 +74,14 @@
   return fs::absolute(path);
 }
 
-// Returns the seeds of a range FROM..TO of at most 10,000. Throws net::BadInput.
+// Returns the seeds of a range FROM..TO of at most 10,000. Throws net::InvalidInput.
 std::vector<uint64_t> seed_list(const std::string& text) {
   unsigned long long from = 0;
   unsigned long long to = 0;
   int length = 0;
   const int converted = std::sscanf(text.c_str(), "%llu..%llu%n", &from, &to, &length);
   if (converted != 2 || length != static_cast<int>(text.size()) || from > to || to - from > 9999) {
-    throw net::BadInput("--seeds " + text + ": must be FROM..TO with at most 10000 seeds, such as 1..5");
+    throw net::InvalidInput("--seeds " + text + ": must be FROM..TO with at most 10000 seeds, such as 1..5");
   }
   std::vector<uint64_t> seeds;
   for (unsigned long long seed = from; seed <= to; ++seed) seeds.push_back(seed);
@@ -253,7 +253,7 @@
   std::string relay;  // program
 };
 
-// Returns both sides. Throws net::BadInput if they are equal or if their scenarios draw different plans.
+// Returns both sides. Throws net::InvalidInput if they are equal or if their scenarios draw different plans.
 std::array<Side, 2> sides_of(const CompareOptions& options) {
   const std::string b_file = options.b_file.empty() ? options.file : options.b_file;
   std::array<Side, 2> sides = {Side{"a", options.file, read_scenario(options.file), {}},
@@ -261,12 +261,13 @@
   sides[0].relay = executable_path("--a", options.a);
   sides[1].relay = executable_path("--b", options.b);
   if (sides[0].file == sides[1].file && sides[0].relay == sides[1].relay) {
-    throw net::BadInput(
+    throw net::InvalidInput(
         "--a, --b, --b-file: both sides are the same; name two relay programs or a second scenario");
   }
   if (draw_plan(sides[0].scenario, 1).text() != draw_plan(sides[1].scenario, 1).text()) {
-    throw net::BadInput("--b-file " + sides[1].file +
-                        ": draws a different plan than the first scenario, so the sides cannot be compared");
+    throw net::InvalidInput(
+        "--b-file " + sides[1].file +
+        ": draws a different plan than the first scenario, so the sides cannot be compared");
   }
   return sides;
 }
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -14,14 +14,14 @@
 // Prints the error to standard error and returns the exit status for its family.
 int report_error(const net::Error& error) {
   std::fprintf(stderr, "turntally: %s\n  %s [%s]\n", error.what(), error.action().c_str(), error.code());
-  switch (error.family()) {
-    case net::Family::kBroken:
+  switch (error.kind()) {
+    case net::ErrorKind::kFailure:
       return cli::kExitFailed;
-    case net::Family::kMisuse:
+    case net::ErrorKind::kInvalidInput:
       return cli::kExitMisuse;
-    case net::Family::kRefused:
+    case net::ErrorKind::kRefused:
       return cli::kExitRefused;
-    case net::Family::kUnknown:
+    case net::ErrorKind::kOutcomeUnknown:
       return cli::kExitUnknown;
   }
   return cli::kExitFailed;
--- a/cli/registry.cpp
+++ b/cli/registry.cpp
@@ -246,11 +246,11 @@
     try {
       net::parse_address(address);
     } catch (const std::invalid_argument&) {
-      throw net::BadInput("--at '" + address + "': is not an address such as 127.0.0.1:7101");
+      throw net::InvalidInput("--at '" + address + "': is not an address such as 127.0.0.1:7101");
     }
     addresses.push_back(address);
   }
-  if (addresses.empty()) throw net::BadInput("--at: contains no address");
+  if (addresses.empty()) throw net::InvalidInput("--at: contains no address");
   return addresses;
 }
 
--- a/cli/targets.cpp
+++ b/cli/targets.cpp
@@ -118,7 +118,7 @@
 }
 
 // Returns the key ("entries" or "members") of a file's list, and the list. Throws FileUnreadable or
-// net::BadInput.
+// net::InvalidInput.
 std::pair<std::string, json> read_entries(const std::string& file) {
   std::ifstream in(file);
   if (!in) throw FileUnreadable(file, std::strerror(errno));
@@ -127,7 +127,7 @@
   const json content = json::parse(text.str(), nullptr, false);
   const char* const key = content.is_object() && content.contains("entries") ? "entries" : "members";
   if (!content.is_object() || !content.contains(key) || !content[key].is_array()) {
-    throw net::BadInput(file + ": must be a JSON object with a list \"entries\" (or \"members\")");
+    throw net::InvalidInput(file + ": must be a JSON object with a list \"entries\" (or \"members\")");
   }
   return {key, content[key]};
 }
@@ -148,7 +148,7 @@
 // Prints and returns the item that makes the registry's entry equal to `entry`; nothing if it is equal
 // already. Of an entry with an owner, which is mirrored from elsewhere, only the phase is changed.
 std::optional<json> change_for(const registry::Entry& entry, const std::map<std::string, json>& current) {
-  json now = registry::json_of(entry);
+  json now = registry::entry_to_json(entry);
   now.erase("revision");
   const auto found = current.find(entry.id);
   json before = found == current.end() ? json() : found->second;
@@ -186,11 +186,11 @@
   for (const json& value : wanted) {
     const std::string error_prefix = options.file + ": " + key + "[" + std::to_string(position++) + "]: ";
     try {
-      const registry::Entry entry = registry::entry_of(value, "");
+      const registry::Entry entry = registry::parse_entry(value, "");
       if (!named.insert(entry.id).second) throw std::invalid_argument("'" + entry.id + "' appears twice");
       if (std::optional<json> item = change_for(entry, current)) items.push_back(std::move(*item));
     } catch (const std::exception& error) {  // names the faulty part of the file's entry
-      throw net::BadInput(error_prefix + error.what());
+      throw net::InvalidInput(error_prefix + error.what());
     }
   }
   if (options.whole) add_removals(current, named, items);
--- a/controller/backup.cpp
+++ b/controller/backup.cpp
@@ -62,10 +62,10 @@
   int fd_;
 };
 
-void verify_file(const std::string& path, const Backup& backup) {
+void verify_file(const std::string& path, const BackupInfo& backup) {
   std::ifstream in(path, std::ios::binary);
   const std::string bytes{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-  if (!in || bytes.size() != backup.bytes || hash_of(bytes) != backup.hash)
+  if (!in || bytes.size() != backup.size_bytes || hash_of(bytes) != backup.hash)
     throw BackupBroken(path + ": what is read back is not what was written");
 }
 
@@ -99,22 +99,22 @@
 
 }  // namespace
 
-std::string Backup::file() const {
+std::string BackupInfo::file_name() const {
   std::string number = std::to_string(revision);
   number.insert(0, 20 - std::min<size_t>(number.size(), 20), '0');
   return std::string(kFilePrefix) + number + "-" + net::hex(hash) + std::string(kFileSuffix);
 }
 
-Backup checked_backup(const std::string& backup, const std::string& list) {
+BackupInfo verify_backup(const std::string& backup, const std::string& list) {
   const json saved = parse_list(backup, "backup", "entries");
   const json listed = parse_list(list, "list", "members");
   if (saved.value("format", 0) != 1)
     throw BackupBroken("the registry's backup has a format that is not known");
-  Backup info;
+  BackupInfo info;
   info.revision = saved["revision"];
   info.hash = hash_of(backup);
-  info.entries = saved["entries"].size();
-  info.bytes = backup.size();
+  info.entry_count = saved["entries"].size();
+  info.size_bytes = backup.size();
   const uint64_t list_revision = listed["revision"];
   if (info.revision < list_revision)
     throw BackupBroken("the backup is of revision " + std::to_string(info.revision) + ", the list was at " +
@@ -133,10 +133,11 @@
   return info;
 }
 
-std::vector<std::string> too_old(std::vector<std::string> files, size_t keep, const std::string& newest) {
+std::vector<std::string> backups_to_remove(std::vector<std::string> files, size_t keep,
+                                           const std::string& newest) {
   std::erase_if(files, [](const std::string& name) {
     return !name.starts_with(kFilePrefix) || !name.ends_with(kFileSuffix) ||
-           name.size() != Backup().file().size();
+           name.size() != BackupInfo().file_name().size();
   });
   std::sort(files.begin(), files.end(), std::greater<>());
   if (files.size() <= keep) return {};
@@ -148,96 +149,97 @@
 BackupTask::BackupTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task)
     : Task(io, config, task), timer_(io), backoff_(1, config.lease.seed) {}
 
-BackupTask::~BackupTask() { disk_.join(); }
+BackupTask::~BackupTask() { disk_thread_.join(); }
 
-void BackupTask::begun(const std::string& checkpoint) {
-  last_ = {};
-  at_ms_ = 0;
+void BackupTask::on_grant_started(const std::string& checkpoint) {
+  last_backup_ = {};
+  last_backup_ms_ = 0;
   const json saved = json::parse(checkpoint, nullptr, false);
   if (saved.is_object()) {
-    at_ms_ = saved.value("at_ms", int64_t{0});
-    last_.revision = saved.value("revision", uint64_t{0});
-    last_.entries = saved.value("entries", size_t{0});
-    last_.bytes = saved.value("bytes", size_t{0});
-    last_.hash = std::strtoull(saved.value("hash", "").c_str(), nullptr, 16);
+    last_backup_ms_ = saved.value("at_ms", int64_t{0});
+    last_backup_.revision = saved.value("revision", uint64_t{0});
+    last_backup_.entry_count = saved.value("entries", size_t{0});
+    last_backup_.size_bytes = saved.value("bytes", size_t{0});
+    last_backup_.hash = std::strtoull(saved.value("hash", "").c_str(), nullptr, 16);
   }
   backoff_.reset();
-  wait_until_due();
+  schedule_next();
 }
 
-void BackupTask::ended() { timer_.cancel(); }
+void BackupTask::on_grant_ended() { timer_.cancel(); }
 
 // The next backup is due one interval after the last one, also if a previous holder made that.
-void BackupTask::wait_until_due() {
-  const int64_t every = config_.backup.every_s * int64_t{1000};
-  const int64_t since = net::wall_now() / 1000 - at_ms_;
+void BackupTask::schedule_next() {
+  const int64_t every = config_.backup.interval_s * int64_t{1000};
+  const int64_t since = net::wall_now() / 1000 - last_backup_ms_;
   timer_.expires_after(milliseconds(since < 0 ? every : std::max<int64_t>(every - since, 0)));
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) turn();
+    if (!error) fetch_list();
   });
 }
 
-void BackupTask::again_later() {
-  timer_.expires_after(backoff_.next());
+void BackupTask::retry_later() {
+  timer_.expires_after(backoff_.next_delay());
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) turn();
+    if (!error) fetch_list();
   });
 }
 
-void BackupTask::turn() {
+void BackupTask::fetch_list() {
   if (!may_act()) return;
-  ask_registry({"GET", "/api/targets?consistent=1", {}, "", kCallTimeout},
-               [this](const std::optional<net::HttpReply>& reply) {
-                 if (!went_well("the registry", reply)) return again_later();
-                 fetch(reply->body);
-               });
+  send_registry_read({"GET", "/api/targets?consistent=1", {}, "", kCallTimeout},
+                     [this](const std::optional<net::HttpResponse>& reply) {
+                       if (!check_reply("the registry", reply)) return retry_later();
+                       fetch_backup(reply->body);
+                     });
 }
 
-void BackupTask::fetch(std::string list) {
+void BackupTask::fetch_backup(std::string list) {
   if (!may_act()) return;
-  ask_registry({"GET", "/registry/backup?consistent=1", {}, "", kCallTimeout},
-               [this, list = std::move(list)](const std::optional<net::HttpReply>& reply) {
-                 if (!went_well("the registry", reply)) return again_later();
-                 try {
-                   write(reply->body, checked_backup(reply->body, list));
-                 } catch (const net::Error& error) {
-                   failed(error);
-                   again_later();
-                 }
-               });
+  send_registry_read({"GET", "/registry/backup?consistent=1", {}, "", kCallTimeout},
+                     [this, list = std::move(list)](const std::optional<net::HttpResponse>& reply) {
+                       if (!check_reply("the registry", reply)) return retry_later();
+                       try {
+                         write_backup(reply->body, verify_backup(reply->body, list));
+                       } catch (const net::Error& error) {
+                         record_failure(error);
+                         retry_later();
+                       }
+                     });
 }
 
-void BackupTask::on_disk(std::function<void()> work, std::function<void()> then) {
+void BackupTask::run_on_disk(std::function<void()> work, std::function<void()> then) {
   // The completion is moved to the disk thread and back, so that it is run and destroyed in the loop's thread
   // only.
-  auto completion =
-      std::make_shared<std::pair<std::shared_ptr<Out>, std::function<void()>>>(out(), std::move(then));
-  boost::asio::post(disk_, [this, work = std::move(work), completion = std::move(completion)]() mutable {
-    std::exception_ptr failure;
-    try {
-      work();
-    } catch (...) {
-      failure = std::current_exception();
-    }
-    boost::asio::post(io_, [this, failure, completion = std::move(completion)] {
-      if (!completion->first->stands()) return;
-      try {
-        if (failure) std::rethrow_exception(failure);
-        completion->second();
-      } catch (const net::Error& error) {
-        failed(error);
-        if (may_act()) again_later();
-      }
-    });
-  });
+  auto completion = std::make_shared<std::pair<std::shared_ptr<OutstandingWork>, std::function<void()>>>(
+      track_work(), std::move(then));
+  boost::asio::post(disk_thread_,
+                    [this, work = std::move(work), completion = std::move(completion)]() mutable {
+                      std::exception_ptr failure;
+                      try {
+                        work();
+                      } catch (...) {
+                        failure = std::current_exception();
+                      }
+                      boost::asio::post(io_, [this, failure, completion = std::move(completion)] {
+                        if (!completion->first->grant_is_current()) return;
+                        try {
+                          if (failure) std::rethrow_exception(failure);
+                          completion->second();
+                        } catch (const net::Error& error) {
+                          record_failure(error);
+                          if (may_act()) retry_later();
+                        }
+                      });
+                    });
 }
 
-void BackupTask::write(const std::string& bytes, const Backup& backup) {
+void BackupTask::write_backup(const std::string& bytes, const BackupInfo& backup) {
   if (!may_act()) return;
   const std::string folder = config_.backup.folder;
-  const std::string path = folder + "/" + backup.file();
+  const std::string path = folder + "/" + backup.file_name();
   const std::string temporary = folder + "/." + holder_ + std::string(kTemporarySuffix);
-  on_disk(
+  run_on_disk(
       [folder, temporary, bytes, backup] {
         std::error_code error;
         fs::create_directories(folder, error);
@@ -251,37 +253,38 @@
       },
       [this, folder, temporary, path, backup] {
         if (!may_act()) return;
-        on_disk(
+        run_on_disk(
             [folder, temporary, path, backup] {
               if (::rename(temporary.c_str(), path.c_str()) != 0) throw_unusable(path);
               File(folder, O_RDONLY | O_DIRECTORY).sync();
               verify_file(path, backup);
             },
             [this, backup] {
-              last_ = backup;
-              at_ms_ = net::wall_now() / 1000;
-              acted();
-              net::log::info("backup_made", "task", name(), "file", backup.file(), "entries", backup.entries);
-              save_checkpoint({{"at_ms", at_ms_},
+              last_backup_ = backup;
+              last_backup_ms_ = net::wall_now() / 1000;
+              record_action();
+              net::log::info("backup_made", "task", name(), "file", backup.file_name(), "entries",
+                             backup.entry_count);
+              save_checkpoint({{"at_ms", last_backup_ms_},
                                {"revision", backup.revision},
                                {"hash", net::hex(backup.hash)},
-                               {"entries", backup.entries},
-                               {"bytes", backup.bytes},
-                               {"file", backup.file()}},
-                              [this] { remove_old(); });
+                               {"entries", backup.entry_count},
+                               {"bytes", backup.size_bytes},
+                               {"file", backup.file_name()}},
+                              [this] { remove_old_backups(); });
             });
       });
 }
 
-void BackupTask::remove_old() {
+void BackupTask::remove_old_backups() {
   if (!may_act()) return;
   backoff_.reset();
-  wait_until_due();
-  on_disk(
-      [folder = config_.backup.folder, keep = static_cast<size_t>(config_.backup.keep),
-       newest = last_.file()] {
+  schedule_next();
+  run_on_disk(
+      [folder = config_.backup.folder, keep = static_cast<size_t>(config_.backup.keep_count),
+       newest = last_backup_.file_name()] {
         std::vector<std::string> files = list_files(folder);
-        std::vector<std::string> old = too_old(files, keep, newest);
+        std::vector<std::string> old = backups_to_remove(files, keep, newest);
         // Temporary files of holders that have died; this holder is writing none now.
         std::copy_if(files.begin(), files.end(), std::back_inserter(old), [](const std::string& name) {
           return name.starts_with(".") && name.ends_with(kTemporarySuffix);
@@ -296,13 +299,13 @@
 }
 
 void BackupTask::add_status(json& report) const {
-  report["state"] = held() ? "acts" : "waits";
-  if (at_ms_ == 0) return;
-  report["last"] = {{"at_ms", at_ms_},
-                    {"revision", last_.revision},
-                    {"entries", last_.entries},
-                    {"bytes", last_.bytes},
-                    {"hash", net::hex(last_.hash)}};
+  report["state"] = is_held() ? "acts" : "waits";
+  if (last_backup_ms_ == 0) return;
+  report["last"] = {{"at_ms", last_backup_ms_},
+                    {"revision", last_backup_.revision},
+                    {"entries", last_backup_.entry_count},
+                    {"bytes", last_backup_.size_bytes},
+                    {"hash", net::hex(last_backup_.hash)}};
 }
 
 }  // namespace turntally::controller
--- a/controller/call.h
+++ b/controller/call.h
@@ -19,23 +19,23 @@
   CallTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task);
 
  private:
-  void begun(const std::string& checkpoint) override;
-  void ended() override;
+  void on_grant_started(const std::string& checkpoint) override;
+  void on_grant_ended() override;
   void add_status(nlohmann::json& report) const override;
 
-  void raise();
-  void raise_at(size_t i);
-  void wait_for_turn();
-  void turn();
-  void all_in();
+  void raise_fences();
+  void raise_fence_at(size_t i);
+  void schedule_next();
+  void send_calls();
+  void on_all_replies();
 
   boost::asio::steady_timer timer_;
   net::Backoff backoff_;
-  std::vector<bool> raised_;  // per address
-  size_t waits_for_ = 0;      // replies not yet received, to fences or to the calls of a round
-  bool acts_ = false;         // calls may be sent
-  uint64_t number_ = 0;       // of the last completed round
-  int64_t at_ms_ = 0;         // when the last round began, by the wall clock; 0: never
+  std::vector<bool> fence_raised_;  // per address
+  size_t pending_replies_ = 0;      // replies not yet received, to fences or to the calls of a round
+  bool all_fences_raised_ = false;  // calls may be sent
+  uint64_t completed_number_ = 0;   // of the last completed round
+  int64_t last_call_ms_ = 0;        // when the last round began, by the wall clock; 0: never
 };
 
 }  // namespace turntally::controller
--- a/controller/config.cpp
+++ b/controller/config.cpp
@@ -23,7 +23,7 @@
   try {
     return net::parse_address(text);
   } catch (const std::invalid_argument&) {
-    in.refuse(key, "'" + text + "' is not an address such as 127.0.0.1:7101");
+    in.reject(key, "'" + text + "' is not an address such as 127.0.0.1:7101");
   }
 }
 
@@ -32,19 +32,19 @@
   std::set<net::tcp::endpoint> seen;
   for (const std::string& text : in.words(key, {})) {
     parsed.push_back(read_address(in, key, text));
-    if (!seen.insert(parsed.back()).second) in.refuse(key, "lists " + text + " twice");
+    if (!seen.insert(parsed.back()).second) in.reject(key, "lists " + text + " twice");
   }
-  if (parsed.empty()) in.refuse(key, "must list at least one address");
+  if (parsed.empty()) in.reject(key, "must list at least one address");
   return parsed;
 }
 
 void check_name(const Section& in, const std::string& key, const std::string& name, size_t max_length) {
   if (name.empty() || name.size() > max_length)
-    in.refuse(key, "must have 1 to " + std::to_string(max_length) + " characters");
+    in.reject(key, "must have 1 to " + std::to_string(max_length) + " characters");
   // The name is put into HTTP paths and header fields without escaping.
   if (name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./") !=
       std::string::npos)
-    in.refuse(key, "may contain only letters, digits and '-_./'");
+    in.reject(key, "may contain only letters, digits and '-_./'");
 }
 
 std::string host_name() {
@@ -63,18 +63,18 @@
     task.call = {read_addresses(in, "addresses"), in.word("path", {}),
                  in.integer("every_ms", {}, 10, kSecondsPerDay * 1000),
                  in.integer("timeout_ms", 1000, 10, 60'000)};
-    if (!task.call.path.starts_with("/")) in.refuse("path", "must begin with '/'");
+    if (!task.call.path.starts_with("/")) in.reject("path", "must begin with '/'");
   } else if (kind == "backup") {
     task.kind = TaskConfig::Kind::kBackup;
     task.backup = {in.word("folder", {}), in.integer("every_s", {}, 1, 30 * kSecondsPerDay),
                    in.integer("keep", 24, 1, 100'000)};
-    if (task.backup.folder.empty()) in.refuse("folder", "must not be empty");
+    if (task.backup.folder.empty()) in.reject("folder", "must not be empty");
   } else {
     task.kind = TaskConfig::Kind::kMirror;
     task.mirror = {read_address(in, "discovery", in.word("discovery", {})), in.word("source", "platform")};
     check_name(in, "source", task.mirror.source, kMaxNameLength);
   }
-  in.done();
+  in.refuse_unknown_keys();
   return task;
 }
 
@@ -88,19 +88,19 @@
 
   const Section registry = file.table("registry");
   config.registry = read_addresses(registry, "members");
-  registry.done();
+  registry.refuse_unknown_keys();
 
   const Section lease = file.table("lease");
   config.lease.ttl = lease.integer("ttl_ms", 3000, 200, 30'000) * lease::Time{1000};
   config.lease.margin = lease.number("margin", 0.25, kMinMargin, 0.9);
-  config.lease.renewals = lease.integer("renewals", 4, 1, 100);
-  config.lease.answer = lease.integer("answer_ms", 500, 10, 30'000) * lease::Time{1000};
-  if (config.lease.answer >= config.lease.ttl) lease.refuse("answer_ms", "must be less than ttl_ms");
-  config.lease.first_pause = lease.integer("first_pause_ms", 50, 1, 60'000) * lease::Time{1000};
-  config.lease.most_pause = lease.integer("most_pause_ms", 2000, 1, 60'000) * lease::Time{1000};
-  if (config.lease.most_pause < config.lease.first_pause)
-    lease.refuse("most_pause_ms", "must not be less than first_pause_ms");
-  lease.done();
+  config.lease.renewals_per_ttl = lease.integer("renewals", 4, 1, 100);
+  config.lease.reply_timeout = lease.integer("answer_ms", 500, 10, 30'000) * lease::Time{1000};
+  if (config.lease.reply_timeout >= config.lease.ttl) lease.reject("answer_ms", "must be less than ttl_ms");
+  config.lease.initial_backoff = lease.integer("first_pause_ms", 50, 1, 60'000) * lease::Time{1000};
+  config.lease.max_backoff = lease.integer("most_pause_ms", 2000, 1, 60'000) * lease::Time{1000};
+  if (config.lease.max_backoff < config.lease.initial_backoff)
+    lease.reject("most_pause_ms", "must not be less than first_pause_ms");
+  lease.refuse_unknown_keys();
   std::random_device random;
   config.lease.seed = (static_cast<uint64_t>(random()) << 32) ^ random();
 
@@ -108,17 +108,17 @@
   for (const Section& section : file.tables("task")) {
     config.tasks.push_back(parse_task(section));
     if (!names.insert(config.tasks.back().name).second)
-      section.refuse("name", "'" + config.tasks.back().name +
+      section.reject("name", "'" + config.tasks.back().name +
                                  "' is already the name of another task: each task needs its own lease");
   }
-  if (config.tasks.empty()) file.refuse("task", "at least one [[task]] is required");
-  file.done();
+  if (config.tasks.empty()) file.reject("task", "at least one [[task]] is required");
+  file.refuse_unknown_keys();
   return config;
 }
 
 }  // namespace
 
-const char* name_of(TaskConfig::Kind kind) {
+const char* kind_name(TaskConfig::Kind kind) {
   switch (kind) {
     case TaskConfig::Kind::kCall:
       return "call";
@@ -130,10 +130,10 @@
   return "";
 }
 
-Config read_config(const std::string& path) { return parse(Section::file(path)); }
+Config read_config(const std::string& path) { return parse(Section::from_file(path)); }
 
 Config read_config_text(const std::string& name, const std::string& toml) {
-  return parse(Section::text(name, toml));
+  return parse(Section::from_text(name, toml));
 }
 
 }  // namespace turntally::controller
--- a/controller/config.h
+++ b/controller/config.h
@@ -10,18 +10,18 @@
 
 namespace turntally::controller {
 
-struct CallKeys {
+struct CallConfig {
   std::vector<net::tcp::endpoint> addresses;
   std::string path;
-  int every_ms = 0;
+  int interval_ms = 0;
   int timeout_ms = 0;
 };
-struct BackupKeys {
+struct BackupConfig {
   std::string folder;
-  int every_s = 0;
-  int keep = 0;
+  int interval_s = 0;
+  int keep_count = 0;
 };
-struct MirrorKeys {
+struct MirrorConfig {
   net::tcp::endpoint discovery;
   std::string source;
 };
@@ -30,9 +30,9 @@
   enum class Kind { kCall, kBackup, kMirror };
   Kind kind = Kind::kCall;
   std::string name;  // also the name of its lease
-  CallKeys call;     // only the one of `kind` is set
-  BackupKeys backup;
-  MirrorKeys mirror;
+  CallConfig call;   // only the one of `kind` is set
+  BackupConfig backup;
+  MirrorConfig mirror;
 };
 
 struct Config {
@@ -44,10 +44,10 @@
   std::vector<TaskConfig> tasks;
 };
 
-// Reads and checks a configuration. Throws net::BadInput with "FILE:LINE: KEY: REASON".
+// Reads and checks a configuration. Throws net::InvalidInput with "FILE:LINE: KEY: REASON".
 Config read_config(const std::string& path);
 Config read_config_text(const std::string& name, const std::string& toml);
 
-const char* name_of(TaskConfig::Kind kind);
+const char* kind_name(TaskConfig::Kind kind);
 
 }  // namespace turntally::controller
--- a/controller/controller.cpp
+++ b/controller/controller.cpp
@@ -11,11 +11,11 @@
 Controller::Controller(boost::asio::io_context& io, const Config& config) : config_(config) {
   if (config.http) {
     net::HttpLimits limits;
-    limits.connections = 100;
-    limits.body = size_t{64} * 1024;
+    limits.max_connections = 100;
+    limits.max_body_bytes = size_t{64} * 1024;
     server_ = std::make_unique<net::HttpServer>(
         io, *config.http, limits,
-        [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& answer) {
+        [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpResponder>& answer) {
           if (request.method == "GET" && request.path == "/status")
             return answer->reply({200, status().dump() + "\n", "application/json", {}});
           if (request.method == "GET" && request.path == "/metrics")
@@ -32,10 +32,10 @@
 }
 
 void Controller::close(const std::function<void()>& closed) {
-  open_ = tasks_.size();
+  open_task_count_ = tasks_.size();
   for (const auto& task : tasks_) {
     task->close([this, closed] {
-      if (--open_ == 0) closed();
+      if (--open_task_count_ == 0) closed();
     });
   }
 }
@@ -54,15 +54,15 @@
       out += std::string("controller_") + metric + "{task=\"" + task->name() + "\"} " +
              std::to_string(value(*task)) + "\n";
   };
-  add_metric("held", "gauge", [](const Task& task) { return task.held() ? 1 : 0; });
+  add_metric("held", "gauge", [](const Task& task) { return task.is_held() ? 1 : 0; });
   add_metric("token", "gauge", [](const Task& task) { return task.token(); });
   add_metric("grants_total", "counter", [](const Task& task) { return task.metrics().grants; });
-  add_metric("acts_total", "counter", [](const Task& task) { return task.metrics().acts; });
+  add_metric("acts_total", "counter", [](const Task& task) { return task.metrics().actions; });
   add_metric("failures_total", "counter", [](const Task& task) { return task.metrics().failures; });
   add_metric("fenced_total", "counter", [](const Task& task) { return task.metrics().fenced; });
   add_metric("acted_seconds", "gauge",
              [](const Task& task) {  // since the last action; -1: none in this process
-               const net::Time at = task.metrics().acted;
+               const net::Time at = task.metrics().last_action_at;
                return at == 0 ? -1.0 : static_cast<double>(net::steady_now() - at) / 1e6;
              });
   return out;
--- a/controller/controller.h
+++ b/controller/controller.h
@@ -28,7 +28,7 @@
   Config config_;
   std::vector<std::unique_ptr<Task>> tasks_;
   std::unique_ptr<net::HttpServer> server_;
-  size_t open_ = 0;
+  size_t open_task_count_ = 0;
 };
 
 }  // namespace turntally::controller
--- a/controller/mirror.cpp
+++ b/controller/mirror.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-void MirrorLines::merge(json& update, const json& line) {
+void MirrorUpdates::merge(json& update, const json& line) {
   if (!update.is_object() || line["complete"].get<bool>()) return void(update = line);
   update["revision"] = line["revision"];
   json& members = update["members"];
@@ -55,7 +55,7 @@
   }
 }
 
-void MirrorLines::told(const std::string& text) {
+void MirrorUpdates::add_line(const std::string& text) {
   const json line = parse_line(text);
   const int64_t revision = line["revision"];
   if (!line["complete"].get<bool>()) {
@@ -69,160 +69,168 @@
   revision_ = revision;
 }
 
-void MirrorLines::put_back(const json& line) {
+void MirrorUpdates::put_back(const json& line) {
   json since = std::exchange(pending_, line);
   if (since.is_object()) merge(pending_, since);
 }
 
-void MirrorLines::forget() {
+void MirrorUpdates::clear() {
   pending_ = {};
   revision_ = -1;
 }
 
 MirrorTask::MirrorTask(boost::asio::io_context& io, const Config& config, const TaskConfig& task)
-    : Task(io, config, task), pause_(io), retry_(io), confirm_(io), backoff_(1, config.lease.seed) {}
-
-void MirrorTask::begun(const std::string&) {
-  identity_.clear();
-  written_ = 0;
-  out_now_ = false;
+    : Task(io, config, task),
+      restart_timer_(io),
+      write_retry_timer_(io),
+      confirmation_timer_(io),
+      backoff_(1, config.lease.seed) {}
+
+void MirrorTask::on_grant_started(const std::string&) {
+  registry_identity_.clear();
+  last_write_at_ = 0;
+  write_in_flight_ = false;
   backoff_.reset();
-  anew();
-  confirm_later();
+  restart();
+  schedule_confirmation();
 }
 
-void MirrorTask::ended() {
-  drop();
-  pause_.cancel();
-  confirm_.cancel();
+void MirrorTask::on_grant_ended() {
+  discard_list();
+  restart_timer_.cancel();
+  confirmation_timer_.cancel();
 }
 
-int64_t MirrorTask::age_ms() const { return written_ == 0 ? -1 : (net::steady_now() - written_) / 1000; }
+int64_t MirrorTask::list_age_ms() const {
+  return last_write_at_ == 0 ? -1 : (net::steady_now() - last_write_at_) / 1000;
+}
 
-void MirrorTask::drop() {
+void MirrorTask::discard_list() {
   if (stream_) stream_->close();
   stream_.reset();
-  lines_.forget();
-  retry_.cancel();
+  updates_.clear();
+  write_retry_timer_.cancel();
 }
 
-void MirrorTask::anew() {
-  drop();
-  fetch();
+void MirrorTask::restart() {
+  discard_list();
+  fetch_list();
 }
 
-void MirrorTask::later(void (MirrorTask::*step)()) {
-  pause_.expires_after(backoff_.next());
-  pause_.async_wait([this, step](const Error& error) {
+void MirrorTask::retry_after_pause(void (MirrorTask::*step)()) {
+  restart_timer_.expires_after(backoff_.next_delay());
+  restart_timer_.async_wait([this, step](const Error& error) {
     if (!error && may_act()) (this->*step)();
   });
 }
 
-void MirrorTask::fetch() {
-  ask(config_.mirror.discovery, {"GET", "/api/targets", {}, "", kCallTimeout},
-      [this](const std::optional<net::HttpReply>& reply) {
-        if (!may_act()) return;
-        if (!went_well("discovery", reply)) return later(&MirrorTask::anew);
-        try {
-          lines_.told(reply->body);
-        } catch (const net::Error& error) {
-          failed(error);
-          return later(&MirrorTask::anew);
-        }
-        write();
-        connect();
-      });
-}
-
-void MirrorTask::connect() {
-  const auto self = std::make_shared<net::Lines*>(nullptr);
-  alive_watch_ = false;
-  stream_ = std::make_shared<net::Lines>(
-      io_, config_.mirror.discovery, kWatchTimeout, [this](const std::string& text) { return line(text); },
-      [this, self](net::Lines::End reason) {
+void MirrorTask::fetch_list() {
+  send_read(config_.mirror.discovery, {"GET", "/api/targets", {}, "", kCallTimeout},
+            [this](const std::optional<net::HttpResponse>& reply) {
+              if (!may_act()) return;
+              if (!check_reply("discovery", reply)) return retry_after_pause(&MirrorTask::restart);
+              try {
+                updates_.add_line(reply->body);
+              } catch (const net::Error& error) {
+                record_failure(error);
+                return retry_after_pause(&MirrorTask::restart);
+              }
+              write_pending();
+              start_watch();
+            });
+}
+
+void MirrorTask::start_watch() {
+  const auto self = std::make_shared<net::JsonStream*>(nullptr);
+  watch_is_live_ = false;
+  stream_ = std::make_shared<net::JsonStream>(
+      io_, config_.mirror.discovery, kWatchTimeout, [this](const std::string& text) { return on_line(text); },
+      [this, self](net::JsonStream::EndReason reason) {
         if (*self != stream_.get()) return;
         stream_->close();
         stream_.reset();
-        failed(WatchBroken(std::string("the watch at discovery ends: ") + net::Lines::name_of(reason)));
+        record_failure(
+            WatchBroken(std::string("the watch at discovery ends: ") + net::JsonStream::name_of(reason)));
         // Resumes from the known revision; starts over if the list was discarded.
-        later(lines_.revision() < 0 ? &MirrorTask::anew : &MirrorTask::connect);
+        retry_after_pause(updates_.revision() < 0 ? &MirrorTask::restart : &MirrorTask::start_watch);
       });
   *self = stream_.get();
-  stream_->start("/api/targets?stream=1&index=" + std::to_string(lines_.revision()));
+  stream_->start("/api/targets?stream=1&index=" + std::to_string(updates_.revision()));
 }
 
-bool MirrorTask::line(const std::string& text) {
+bool MirrorTask::on_line(const std::string& text) {
   try {
-    if (text.find_first_not_of(" \r\t") != std::string::npos) lines_.told(text);
+    if (text.find_first_not_of(" \r\t") != std::string::npos) updates_.add_line(text);
   } catch (const net::Error& error) {
-    failed(error);
-    lines_.forget();
+    record_failure(error);
+    updates_.clear();
     return false;
   }
-  alive_watch_ = true;
-  write();
+  watch_is_live_ = true;
+  write_pending();
   return true;
 }
 
-void MirrorTask::write() {
-  if (out_now_ || lines_.empty() || !may_act()) return;
-  put(lines_.take());
+void MirrorTask::write_pending() {
+  if (write_in_flight_ || updates_.empty() || !may_act()) return;
+  send_update(updates_.take());
 }
 
-void MirrorTask::put(const json& line) {
+void MirrorTask::send_update(const json& line) {
   json body = line;
   body["source"] = config_.mirror.source;
   body["serial"] = ++serial_;
-  out_now_ = true;
-  act_at_registry({"PUT", "/api/mirror", {{"Content-Type", "application/json"}}, body.dump(), kCallTimeout},
-                  [this, line](const std::optional<net::HttpReply>& reply) { written(line, reply); });
+  write_in_flight_ = true;
+  send_registry_action(
+      {"PUT", "/api/mirror", {{"Content-Type", "application/json"}}, body.dump(), kCallTimeout},
+      [this, line](const std::optional<net::HttpResponse>& reply) { on_write_reply(line, reply); });
 }
 
-void MirrorTask::written(const json& line, const std::optional<net::HttpReply>& reply) {
-  out_now_ = false;
-  const bool succeeded = went_well("the registry", reply);
+void MirrorTask::on_write_reply(const json& line, const std::optional<net::HttpResponse>& reply) {
+  write_in_flight_ = false;
+  const bool succeeded = check_reply("the registry", reply);
   if (!may_act()) {
-    if (succeeded) acted();
+    if (succeeded) record_action();
     return;
   }
   if (!succeeded) {
     // The update itself was refused: the registry's list differs from discovery's and must not be confirmed.
     if (reply && reply->status < 500) {
-      drop();
-      return later(&MirrorTask::anew);
+      discard_list();
+      return retry_after_pause(&MirrorTask::restart);
     }
-    lines_.put_back(line);
-    retry_.expires_after(backoff_.next());
-    return retry_.async_wait([this](const Error& error) {
-      if (!error) write();
+    updates_.put_back(line);
+    write_retry_timer_.expires_after(backoff_.next_delay());
+    return write_retry_timer_.async_wait([this](const Error& error) {
+      if (!error) write_pending();
     });
   }
-  acted();
+  record_action();
   backoff_.reset();
-  written_ = net::steady_now();
+  last_write_at_ = net::steady_now();
   const json body = json::parse(reply->body, nullptr, false);
   const std::string identity = body.is_object() ? body.value("identity", "") : "";
   // The registry's list has been replaced by a restored one, which may be older than the last write.
-  const std::string previous_identity = std::exchange(identity_, identity);
-  if (!previous_identity.empty() && previous_identity != identity) return anew();
-  write();
+  const std::string previous_identity = std::exchange(registry_identity_, identity);
+  if (!previous_identity.empty() && previous_identity != identity) return restart();
+  write_pending();
 }
 
-void MirrorTask::confirm_later() {
-  confirm_.expires_after(kConfirmInterval);
-  confirm_.async_wait([this](const Error& error) {
+void MirrorTask::schedule_confirmation() {
+  confirmation_timer_.expires_after(kConfirmInterval);
+  confirmation_timer_.async_wait([this](const Error& error) {
     if (error) return;
-    if (may_act() && alive_watch_ && stream_ && !out_now_ && lines_.empty())
-      put({{"revision", lines_.revision()}, {"complete", false}, {"members", json::array()}});
-    confirm_later();
+    if (may_act() && watch_is_live_ && stream_ && !write_in_flight_ && updates_.empty())
+      send_update({{"revision", updates_.revision()}, {"complete", false}, {"members", json::array()}});
+    schedule_confirmation();
   });
 }
 
 void MirrorTask::add_status(json& report) const {
-  report["state"] = held() ? "acts" : "waits";
-  report["revision"] = lines_.revision();
-  report["age_ms"] = age_ms();
-  report["watches"] = stream_ != nullptr && alive_watch_;
+  report["state"] = is_held() ? "acts" : "waits";
+  report["revision"] = updates_.revision();
+  report["age_ms"] = list_age_ms();
+  report["watches"] = stream_ != nullptr && watch_is_live_;
 }
 
 }  // namespace turntally::controller
--- a/controller/task.cpp
+++ b/controller/task.cpp
@@ -19,11 +19,11 @@
 
 lease::LeaseClientSettings lease_client_settings(const Config& config, const TaskConfig& task) {
   lease::LeaseClientSettings settings;
-  settings.holder = config.lease;
-  settings.holder.name = task.name;
-  settings.holder.holder = config.holder;
+  settings.lease = config.lease;
+  settings.lease.name = task.name;
+  settings.lease.holder = config.holder;
   // Different seeds, so that the tasks of one process do not call the registry at the same moments.
-  settings.holder.seed = net::mix(config.lease.seed ^ std::hash<std::string>()(task.name));
+  settings.lease.seed = net::mix(config.lease.seed ^ std::hash<std::string>()(task.name));
   settings.members = config.registry;
   settings.clock_rate = config.clock_rate;
   return settings;
@@ -35,70 +35,71 @@
     : io_(io),
       config_(std::move(task)),
       holder_(config.holder),
-      calls_(io, config.registry, config.lease.seed),
-      lease_client_(io, lease_client_settings(config, config_),
-                    {[this](lease::Token token, const std::string& checkpoint) { begin(token, checkpoint); },
-                     [this](const std::string& why) { stop(why); }, [this] { wind_down(); }}) {}
+      registry_caller_(io, config.registry, config.lease.seed),
+      lease_client_(
+          io, lease_client_settings(config, config_),
+          {[this](lease::Token token, const std::string& checkpoint) { begin_grant(token, checkpoint); },
+           [this](const std::string& why) { on_lease_lost(why); }, [this] { release_when_idle(); }}) {}
 
 Task::~Task() { *alive_ = false; }
 
-Task::Out::~Out() {
+Task::OutstandingWork::~OutstandingWork() {
   if (!*alive_) return;
-  --task_->outs_;
-  if (task_->outs_ == 0 && task_->winds_down_) task_->wind_down();
+  --task_->outstanding_work_;
+  if (task_->outstanding_work_ == 0 && task_->releasing_) task_->release_when_idle();
 }
 
-std::shared_ptr<Task::Out> Task::out() { return std::make_shared<Out>(*this); }
+std::shared_ptr<Task::OutstandingWork> Task::track_work() { return std::make_shared<OutstandingWork>(*this); }
 
-void Task::begin(lease::Token token, const std::string& checkpoint) {
-  if (closes_) return;
-  grant_ = ++grants_;
+void Task::begin_grant(lease::Token token, const std::string& checkpoint) {
+  if (closing_) return;
+  grant_number_ = ++grant_count_;
   token_ = token;
-  winds_down_ = false;
-  gave_up_ = false;
+  releasing_ = false;
+  lease_abandoned_ = false;
   ++metrics_.grants;
   log::info("lease_held", "task", config_.name, "token", token, "record_bytes", checkpoint.size());
-  begun(checkpoint);
+  on_grant_started(checkpoint);
 }
 
 void Task::end_grant() {
   if (std::exchange(token_, 0) == 0) return;
-  grant_ = 0;
-  ended();
+  grant_number_ = 0;
+  on_grant_ended();
 }
 
-void Task::stop(const std::string& why) {
+void Task::on_lease_lost(const std::string& why) {
   log::info("lease_ended", "task", config_.name, "why", why);
-  winds_down_ = closes_;
+  releasing_ = closing_;
   end_grant();
 }
 
 // Work in progress keeps its grant: the lease is released when the last of it has ended.
-void Task::wind_down() {
-  if (!std::exchange(winds_down_, true)) {
-    log::info("lease_releasing", "task", config_.name, "out", outs_);
-    ended();
+void Task::release_when_idle() {
+  if (!std::exchange(releasing_, true)) {
+    log::info("lease_releasing", "task", config_.name, "out", outstanding_work_);
+    on_grant_ended();
   }
-  if (outs_ > 0) return;
-  if (closes_) {
+  if (outstanding_work_ > 0) return;
+  if (closing_) {
     lease_client_.close([this] {
       end_grant();
-      if (const auto closed = std::exchange(closed_, nullptr)) closed();
+      if (const auto closed = std::exchange(on_closed_, nullptr)) closed();
     });
   } else {
     lease_client_.release();
   }
 }
 
-void Task::give_up() {
-  gave_up_ = true;
-  if (!winds_down_) wind_down();
+void Task::abandon_lease() {
+  lease_abandoned_ = true;
+  if (!releasing_) release_when_idle();
 }
 
 void Task::close(std::function<void()> closed) {
-  closes_ = true;
-  closed_ = std::move(closed);
-  wind_down();
+  closing_ = true;
+  on_closed_ = std::move(closed);
+  release_when_idle();
 }
 
 void Task::add_fields(net::HttpCall& call) const {
@@ -107,62 +108,62 @@
   call.fields["X-Lease-Holder"] = holder_;
 }
 
-Task::ReplyCallback Task::of_this_grant(ReplyCallback done) {
-  return [out = out(), done = std::move(done)](const std::optional<net::HttpReply>& reply) {
-    if (out->stands()) done(reply);
+Task::ReplyCallback Task::track_reply(ReplyCallback done) {
+  return [out = track_work(), done = std::move(done)](const std::optional<net::HttpResponse>& reply) {
+    if (out->grant_is_current()) done(reply);
   };
 }
 
-void Task::act(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
+void Task::send_action(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
   add_fields(call);
-  call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
-  net::http_call(io_, to, std::move(call), of_this_grant(std::move(done)));
+  call.timeout = std::min(call.timeout, std::max(lease_client_.time_left(), milliseconds(1)));
+  net::http_call(io_, to, std::move(call), track_reply(std::move(done)));
 }
 
-void Task::act_at_registry(net::HttpCall call, ReplyCallback done) {
+void Task::send_registry_action(net::HttpCall call, ReplyCallback done) {
   add_fields(call);
-  call.timeout = std::min(call.timeout, std::max(lease_client_.left(), milliseconds(1)));
-  calls_.call(std::move(call), of_this_grant(std::move(done)));
+  call.timeout = std::min(call.timeout, std::max(lease_client_.time_left(), milliseconds(1)));
+  registry_caller_.call(std::move(call), track_reply(std::move(done)));
 }
 
 // Reads change nothing, so the lease is released without waiting for them.
-Task::ReplyCallback Task::while_it_stands(ReplyCallback done) {
-  return [this, alive = alive_, grant = grant_,
-          done = std::move(done)](const std::optional<net::HttpReply>& reply) {
-    if (*alive && grant_ == grant) done(reply);
+Task::ReplyCallback Task::drop_after_grant(ReplyCallback done) {
+  return [this, alive = alive_, grant = grant_number_,
+          done = std::move(done)](const std::optional<net::HttpResponse>& reply) {
+    if (*alive && grant_number_ == grant) done(reply);
   };
 }
 
-void Task::ask(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
-  net::http_call(io_, to, std::move(call), while_it_stands(std::move(done)));
+void Task::send_read(const net::tcp::endpoint& to, net::HttpCall call, ReplyCallback done) {
+  net::http_call(io_, to, std::move(call), drop_after_grant(std::move(done)));
 }
 
-void Task::ask_registry(net::HttpCall call, ReplyCallback done) {
-  calls_.call(std::move(call), while_it_stands(std::move(done)));
+void Task::send_registry_read(net::HttpCall call, ReplyCallback done) {
+  registry_caller_.call(std::move(call), drop_after_grant(std::move(done)));
 }
 
 void Task::save_checkpoint(const json& checkpoint, std::function<void()> done) {
   if (lease_client_.token() != token_ || !lease_client_.is_held()) return;
-  lease_client_.save_checkpoint(checkpoint.dump(), [this, out = out(), done = std::move(done)](
+  lease_client_.save_checkpoint(checkpoint.dump(), [this, out = track_work(), done = std::move(done)](
                                                        lease::LeaseClient::CheckpointResult result) {
-    if (!out->stands()) return;
+    if (!out->grant_is_current()) return;
     switch (result) {
       case lease::LeaseClient::CheckpointResult::kDone:
         return done();
       case lease::LeaseClient::CheckpointResult::kFenced:
         ++metrics_.fenced;
-        failed(Fenced("the registry"));
-        return give_up();
+        record_failure(Fenced("the registry"));
+        return abandon_lease();
       case lease::LeaseClient::CheckpointResult::kFailed:
-        failed(NoAnswer("the registry, told what is done,"));
+        record_failure(NoAnswer("the registry, told what is done,"));
         return done();  // the next checkpoint includes it; a successor repeats what was not saved
     }
   });
 }
 
-bool Task::went_well(const std::string& callee, const std::optional<net::HttpReply>& reply) {
+bool Task::check_reply(const std::string& callee, const std::optional<net::HttpResponse>& reply) {
   if (!reply) {
-    failed(NoAnswer(callee));
+    record_failure(NoAnswer(callee));
     return false;
   }
   if (reply->status >= 200 && reply->status < 300) return true;
@@ -173,15 +174,15 @@
   };
   if (reply->status == 409 && string_field("code") == "lease_fenced") {
     ++metrics_.fenced;
-    failed(Fenced(callee));
-    give_up();
+    record_failure(Fenced(callee));
+    abandon_lease();
     return false;
   }
-  failed(Refused(callee, reply->status, string_field("error")));
+  record_failure(Refused(callee, reply->status, string_field("error")));
   return false;
 }
 
-void Task::failed(const net::Error& error) {
+void Task::record_failure(const net::Error& error) {
   ++metrics_.failures;
   const json description = {{"code", error.code()}, {"error", error.what()}, {"action", error.action()}};
   log::warn("task_failed", "task", config_.name, "code", error.code(), "why", error.what(), "action",
@@ -190,22 +191,22 @@
   last_error_["at_ms"] = net::wall_now() / 1000;
 }
 
-void Task::acted() {
-  ++metrics_.acts;
-  metrics_.acted = net::steady_now();
+void Task::record_action() {
+  ++metrics_.actions;
+  metrics_.last_action_at = net::steady_now();
 }
 
 json Task::status() const {
   json out = {{"name", config_.name},
-              {"kind", name_of(config_.kind)},
-              {"held", held()},
+              {"kind", kind_name(config_.kind)},
+              {"held", is_held()},
               {"token", token()},
-              {"left_ms", lease_client_.left().count()},
-              {"place", lease_client_.place()},
+              {"left_ms", lease_client_.time_left().count()},
+              {"place", lease_client_.queue_place()},
               {"lease_trouble", lease_client_.last_error()},
-              {"wanted_back", winds_down_},
-              {"out", outs_},
-              {"acts", metrics_.acts},
+              {"wanted_back", releasing_},
+              {"out", outstanding_work_},
+              {"acts", metrics_.actions},
               {"failures", metrics_.failures},
               {"fenced", metrics_.fenced},
               {"last_error", last_error_}};
--- a/include/turntally/events.h
+++ b/include/turntally/events.h
@@ -53,9 +53,9 @@
   // The newest attempt, if it is still in flight in the previous process. Its AttemptEnded follows as for any
   // other attempt.
   struct InFlightCall {
-    Endpoint endpoint;  // must have been listed
-    Time sent = 0;      // point in time
-    uint64_t call = 0;  // messages with the same number travel in one call
+    Endpoint endpoint;         // must have been listed
+    Time sent = 0;             // point in time
+    uint64_t call_number = 0;  // messages with the same number travel in one call
   };
   std::optional<InFlightCall> in_flight;
 };
@@ -120,7 +120,7 @@
 // caller lists endpoints again whose kind or zone changed.
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
-  std::vector<int> zones;  // by former zone index; -1: removed; empty: all zones keep theirs
+  std::vector<int> new_zone_indexes;  // by former zone index; -1: removed; empty: all zones keep theirs
 };
 
 using Event = std::variant<EndpointListChanged, MessageArrived, AttemptEnded, HealthCheckEnded,
--- a/include/turntally/policy.h
+++ b/include/turntally/policy.h
@@ -33,7 +33,7 @@
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions);
 
   // Returns the number of listed endpoints that are suspended, ejected, or in an outage without recovery.
-  size_t ejected_endpoints(Time now) const;
+  size_t count_ejected_endpoints(Time now) const;
 
  private:
   class Impl;
--- a/include/turntally/settings.h
+++ b/include/turntally/settings.h
@@ -47,7 +47,7 @@
 };
 
 // The meaning of EndpointInfo::weight: none, the destination's limit, or an estimate of that limit.
-enum class Weights { kNone, kNominal, kRough };
+enum class WeightMeaning { kNone, kNominal, kRough };
 
 struct Settings {
   std::vector<ClassSettings> classes;
@@ -68,7 +68,7 @@
   // After the latency objective, the weight of a message halves with each further objective; otherwise it
   // falls linearly until the deadline.
   bool late_weight_halves = false;
-  Weights weights = Weights::kNone;
+  WeightMeaning weight_meaning = WeightMeaning::kNone;
   int report_limit_remaining_index = -1;  // in a load report: remaining share of the limit; -1: absent
   int report_limit_index = -1;            // in a load report: limit in calls per second; -1: absent
   double over_quota_weight_share = 1;     // share of its weight that a message over quota keeps, from 0 to 1
--- a/include/turntally/types.h
+++ b/include/turntally/types.h
@@ -20,11 +20,11 @@
 // independent endpoints are not included.
 struct DestinationState {
   int destination = 0;
-  int retry_tokens = 0;           // balance of the retry budget, in tenths of a token
+  int retry_token_tenths = 0;     // balance of the retry budget, in tenths of a token
   Time outage_since = 0;          // point in time; 0: no outage
   Time recovering_since = 0;      // point in time; 0: not recovering
   double rate_before_outage = 0;  // calls per second that this relay had served
-  Time wait_until = 0;            // end of a retry-after, a point in time; 0: none
+  Time blocked_until = 0;         // end of a retry-after, a point in time; 0: none
   bool operator==(const DestinationState&) const = default;
 };
 
--- a/lab/fenced_resource.cpp
+++ b/lab/fenced_resource.cpp
@@ -14,7 +14,7 @@
   return it == request.fields.end() ? "" : it->second;
 }
 
-net::HttpReply answer(int status, const json& body) {
+net::HttpResponse answer(int status, const json& body) {
   return {status, body.dump() + "\n", "application/json", {}};
 }
 
@@ -29,13 +29,13 @@
 void FencedResource::start() {
   server_ = std::make_unique<net::HttpServer>(
       io_, listen_, net::HttpLimits{},
-      [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& to) {
+      [this](const net::HttpRequest& request, const std::shared_ptr<net::HttpResponder>& to) {
         to->reply(asked(request));
       });
   listen_ = server_->address();
 }
 
-net::HttpReply FencedResource::asked(const net::HttpRequest& request) {
+net::HttpResponse FencedResource::asked(const net::HttpRequest& request) {
   const std::string lease = field(request, "x-lease");
   const std::string text = field(request, "x-lease-token");
   LeaseRecord record;
--- a/lab/fenced_resource.h
+++ b/lab/fenced_resource.h
@@ -27,7 +27,7 @@
   const net::tcp::endpoint& address() const { return listen_; }
 
  private:
-  net::HttpReply asked(const net::HttpRequest& request);
+  net::HttpResponse asked(const net::HttpRequest& request);
 
   boost::asio::io_context& io_;
   net::tcp::endpoint listen_;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -39,9 +39,9 @@
 }
 
 void Mirror::watch() {
-  stream_ = std::make_shared<net::Lines>(
+  stream_ = std::make_shared<net::JsonStream>(
       world_.io, world_.discovery_address(), kSilence, [this](const std::string& line) { return told(line); },
-      [this](net::Lines::End) {
+      [this](net::JsonStream::EndReason) {
         stream_->close();
         after(kAgain, [this] { watch(); });
       });
@@ -80,12 +80,12 @@
     if (it != list_.end()) items.back()["entry"].erase("id");
   }
   const net::HttpCall call{"POST", "/api/targets", {}, json{{"items", items}}.dump(), kCall};
-  const auto done = [this, alive = alive_, ids = owed_](const std::optional<net::HttpReply>& reply) {
+  const auto done = [this, alive = alive_, ids = owed_](const std::optional<net::HttpResponse>& reply) {
     if (*alive) wrote(ids, reply);
   };
   owed_.clear();
   net::http_call(world_.io, world_.member_http(at_), call,
-                 [this, alive = alive_, call, done](const std::optional<net::HttpReply>& reply) {
+                 [this, alive = alive_, call, done](const std::optional<net::HttpResponse>& reply) {
                    if (!*alive) return;
                    if (!reply || reply->status != 307 || !reply->fields.contains("location"))
                      return done(reply);
@@ -96,7 +96,7 @@
 }
 
 // Writing the same again does no harm: whatever was told in between is owed beside it.
-void Mirror::wrote(const std::set<std::string>& ids, const std::optional<net::HttpReply>& reply) {
+void Mirror::wrote(const std::set<std::string>& ids, const std::optional<net::HttpResponse>& reply) {
   writing_ = false;
   if (reply && reply->status == 200) {
     if (const auto first = std::exchange(first_, nullptr)) first();
@@ -145,13 +145,13 @@
  private:
   void follow() {
     ++owner_->watches_;
-    stream_ = std::make_shared<net::Lines>(
+    stream_ = std::make_shared<net::JsonStream>(
         owner_->world_.io, owner_->world_.member_http(member_), kSilence,
         [self = weak_from_this()](const std::string& line) {
           if (const auto here = self.lock()) here->line(line);
           return true;
         },
-        [self = weak_from_this()](net::Lines::End) {
+        [self = weak_from_this()](net::JsonStream::EndReason) {
           if (const auto here = self.lock()) here->end();
         });
     stream_->start({request_.target().data(), request_.target().size()});
@@ -195,7 +195,7 @@
   tcp::endpoint peer_;
   int relay_ = -1;
   bool begun_ = false;
-  std::shared_ptr<net::Lines> stream_;
+  std::shared_ptr<net::JsonStream> stream_;
   std::string queue_;
   std::string writing_;
   char rest_[64];
@@ -242,7 +242,7 @@
 // Until each member has a list; then the mirror begins.
 void Fleet::await_list(size_t member) {
   net::http_call(world_.io, world_.member_http(member), {"GET", "/api/targets", {}, "", kCall},
-                 [this, alive = alive_, member](const std::optional<net::HttpReply>& reply) {
+                 [this, alive = alive_, member](const std::optional<net::HttpResponse>& reply) {
                    if (!*alive) return;
                    if (reply && reply->status == 200) {
                      return member + 1 < doors_.size() ? await_list(member + 1) : mirror_.start();
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -17,7 +17,7 @@
 #include "lab/discovery_agent.h"
 #include "lab/simulated_fleet.h"
 #include "net/http.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 
 namespace turntally::lab {
 
@@ -33,12 +33,12 @@
   void watch();
   bool told(const std::string& line);
   void write();
-  void wrote(const std::set<std::string>& ids, const std::optional<net::HttpReply>& reply);
+  void wrote(const std::set<std::string>& ids, const std::optional<net::HttpResponse>& reply);
   void after(double seconds, std::function<void()> then);
 
   SimulatedFleet& world_;
   std::function<void()> first_;
-  std::shared_ptr<net::Lines> stream_;
+  std::shared_ptr<net::JsonStream> stream_;
   int64_t revision_ = -1;                       // of discovery's list
   std::map<std::string, nlohmann::json> list_;  // by id
   std::set<std::string> owed_;                  // ids that the registry does not have so yet
--- a/lab/lease_scenario.cpp
+++ b/lab/lease_scenario.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 namespace fs = std::filesystem;
-using net::HttpReply;
+using net::HttpResponse;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using Kind = LeaseFault::Kind;
@@ -70,12 +70,12 @@
   f.late_ms = one.number("late_ms", 0, 0, 60'000);
   f.rate = one.number("rate", 1, 0.9, 1.1);
   f.then_kill = one.word("then", "nothing", {"nothing", "kill"}) == "kill";
-  if (f.times > 1 && f.every_s <= 0) one.refuse("every_s", "must say how often");
-  if (f.kind == Kind::kSlow && f.late_ms <= 0) one.refuse("late_ms", "must say how late");
-  if (f.then_kill && f.kind != Kind::kHandOver) one.refuse("then", "is for hand_over only");
+  if (f.times > 1 && f.every_s <= 0) one.reject("every_s", "must say how often");
+  if (f.kind == Kind::kSlow && f.late_ms <= 0) one.reject("late_ms", "must say how late");
+  if (f.then_kill && f.kind != Kind::kHandOver) one.reject("then", "is for hand_over only");
   if (f.at_s + (f.times - 1) * f.every_s + f.for_s > seconds)
-    one.refuse("at_s", "is too late for the fault to be over in 'seconds'");
-  one.done();
+    one.reject("at_s", "is too late for the fault to be over in 'seconds'");
+  one.refuse_unknown_keys();
   return f;
 }
 
@@ -95,12 +95,12 @@
   out.election_ms = l.integer("election_ms", out.election_ms, 50, 60'000);
   out.heartbeat_ms = l.integer("heartbeat_ms", out.heartbeat_ms, 10, 10'000);
   out.raft_ms = l.number("raft_ms", out.raft_ms, 0, 10'000);
-  l.done();
+  l.refuse_unknown_keys();
   const net::Section drawn = file.table("drawn");
   out.drawn = drawn.integer("faults", 0, 0, 10'000);
-  drawn.done();
+  drawn.refuse_unknown_keys();
   for (const net::Section& one : file.tables("fault")) out.faults.push_back(read_fault(one, out.seconds));
-  file.done();
+  file.refuse_unknown_keys();
   return out;
 }
 
@@ -147,7 +147,7 @@
   void backup_and_restore(const LeaseFault& fault);
   void restore(const std::string& backup, int tries);
   void call(const net::tcp::endpoint& to, const net::HttpCall& call, int redirects,
-            std::function<void(const std::optional<HttpReply>&)> done);
+            std::function<void(const std::optional<HttpResponse>&)> done);
   void count_renewals();
 
   const LeaseScenario& scenario_;
@@ -318,7 +318,7 @@
   for (size_t m = 0; m < members_.size(); ++m) {
     if (!members_.up(m)) continue;
     net::http_call(stage_.io(), members_.http(m), {"GET", kTarget, {}, "", kCall},
-                   [this](const std::optional<HttpReply>& reply) {
+                   [this](const std::optional<HttpResponse>& reply) {
                      const json lease =
                          reply && reply->status == 200 ? json::parse(reply->body, nullptr, false) : json();
                      if (!over_ && lease.is_object()) looked(lease);
@@ -500,10 +500,10 @@
 
 // As an operator's program does: redirects lead to the leader.
 void Play::call(const net::tcp::endpoint& to, const net::HttpCall& what, int redirects,
-                std::function<void(const std::optional<HttpReply>&)> done) {
+                std::function<void(const std::optional<HttpResponse>&)> done) {
   net::http_call(
       stage_.io(), to, what,
-      [this, what, redirects, done = std::move(done)](const std::optional<HttpReply>& reply) {
+      [this, what, redirects, done = std::move(done)](const std::optional<HttpResponse>& reply) {
         if (!reply || reply->status != 307 || redirects == 0 || !reply->fields.contains("location"))
           return done(reply);
         const std::string& at = reply->fields.at("location");
@@ -518,7 +518,7 @@
   stage_.record("fault", {{"kind", "hand_over"}, {"from", newest_holder_}, {"to", to}});
   ++out_.faults;
   call(members_.http(members_.any()), {"POST", kTarget, {}, body.dump(), milliseconds(2000)}, 2,
-       [this, &fault](const std::optional<HttpReply>& reply) {
+       [this, &fault](const std::optional<HttpResponse>& reply) {
          if (over_) return;
          const bool well = reply && reply->status == 200;
          stage_.record("answered",
@@ -539,7 +539,7 @@
 void Play::backup_and_restore(const LeaseFault& fault) {
   const size_t at = members_.leader() >= 0 ? static_cast<size_t>(members_.leader()) : 0;
   net::http_call(stage_.io(), members_.http(at), {"GET", "/registry/backup", {}, "", milliseconds(3000)},
-                 [this, &fault](const std::optional<HttpReply>& reply) {
+                 [this, &fault](const std::optional<HttpResponse>& reply) {
                    if (over_) return;
                    if (!reply || reply->status != 200) return stage_.record("no_backup");
                    stage_.record("backup", {{"holder", newest_holder_}});
@@ -557,7 +557,7 @@
   record({Sort::kRestored, 0, 0, 0, "", false, 0, ""});
   net::http_call(stage_.io(), members_.http(at),
                  {"POST", "/registry/restore", {}, backup, milliseconds(3000)},
-                 [this, backup, tries](const std::optional<HttpReply>& reply) {
+                 [this, backup, tries](const std::optional<HttpResponse>& reply) {
                    if (over_) return;
                    if (reply && reply->status == 200) {
                      ++out_.faults;
@@ -582,7 +582,7 @@
   for (size_t m = 0; m < members_.size(); ++m) {
     if (!members_.up(m)) continue;
     net::http_call(stage_.io(), members_.http(m), {"GET", "/metrics", {}, "", kCall},
-                   [this, m, most](const std::optional<HttpReply>& reply) {
+                   [this, m, most](const std::optional<HttpResponse>& reply) {
                      const size_t at = reply ? reply->body.find(kName) : std::string::npos;
                      if (over_ || at == std::string::npos) return;
                      const double count = std::strtod(reply->body.c_str() + at + kName.size(), nullptr);
@@ -702,14 +702,14 @@
           {"lab_late_p99_ms", lab_p99_ms}};
 }
 
-bool is_lease_scenario(const std::string& path) { return net::Section::file(path).has("lease"); }
+bool is_lease_scenario(const std::string& path) { return net::Section::from_file(path).has("lease"); }
 
 LeaseScenario read_lease_scenario(const std::string& path) {
-  return read(net::Section::file(path), fs::path(path).stem());
+  return read(net::Section::from_file(path), fs::path(path).stem());
 }
 
 LeaseScenario parse_lease_scenario(const std::string& name, const std::string& toml) {
-  return read(net::Section::text(name, toml), name);
+  return read(net::Section::from_text(name, toml), name);
 }
 
 LeaseScenarioResult run_lease_scenario(const LeaseScenario& scenario, const LeaseScenarioOptions& options) {
--- a/lab/lease_scenario.h
+++ b/lab/lease_scenario.h
@@ -59,7 +59,7 @@
   std::vector<LeaseFault> faults;
 };
 
-// Whether a file holds such a scenario. All three throw net::BadInput.
+// Whether a file holds such a scenario. All three throw net::InvalidInput.
 bool is_lease_scenario(const std::string& path);
 LeaseScenario read_lease_scenario(const std::string& path);
 LeaseScenario parse_lease_scenario(const std::string& name, const std::string& toml);
--- a/lab/lease_simulation.cpp
+++ b/lab/lease_simulation.cpp
@@ -312,7 +312,7 @@
         break;
       case Entry::Kind::kAct:
         table_.tick(index_, log_now_);
-        out.kind = !guards_.fencing || table_.holds(entry.call.name, entry.call.token)
+        out.kind = !guards_.fencing || table_.is_current_token(entry.call.name, entry.call.token)
                        ? LeaseResult::Kind::kGranted
                        : LeaseResult::Kind::kFenced;
         break;
@@ -320,7 +320,7 @@
         table_.tick(index_, log_now_);
         break;
       case Entry::Kind::kLead:
-        if (guards_.whole_ttl) table_.leader_elected(log_now_);
+        if (guards_.whole_ttl) table_.on_leader_elected(log_now_);
         break;
       case Entry::Kind::kLose:  // all folders are lost: another list, whose revisions are above the old one's
         index_ += 1000;
@@ -332,8 +332,9 @@
         break;
     }
     for (int i = 0; i < history_.leases; ++i) {
-      const auto it = table_.all().find(names_[i]);
-      if (it == table_.all().end() || it->second.token == granted_[i] || it->second.holder.empty()) continue;
+      const auto it = table_.by_name().find(names_[i]);
+      if (it == table_.by_name().end() || it->second.token == granted_[i] || it->second.holder.empty())
+        continue;
       granted_[i] = it->second.token;
       note(Kind::kGranted, i, who(it->second.holder), -1, it->second.token);
     }
@@ -490,9 +491,9 @@
     s.holder = p.name;
     s.ttl = ttl_[p.lease];
     s.margin = guards_.margin ? settings_.margin : 0;
-    s.answer = uniform(s.ttl / 6, s.ttl / 2);
-    s.first_pause = 20 * kMs;
-    s.most_pause = kPause;
+    s.reply_timeout = uniform(s.ttl / 6, s.ttl / 2);
+    s.initial_backoff = 20 * kMs;
+    s.max_backoff = kPause;
     s.seed = net::mix(settings_.seed ^ net::mix(static_cast<uint64_t>(p.who)));
     p.holder = std::make_unique<lease::LeaseState>(s);
     p.target = static_cast<int>(random_.below(kMembers));
@@ -519,7 +520,7 @@
     if (reply.kind == lease::LeaseReply::Kind::kQueued) p.late_token = 0;
     const Time before = p.holder->held_until();
     note(Kind::kAnswered, p.lease, p.who, -1, reply.token, static_cast<int64_t>(reply.kind));
-    const auto actions = p.holder->answered(p.clock.at(now_), number, reply);
+    const auto actions = p.holder->on_reply(p.clock.at(now_), number, reply);
     if (!guards_.from_send && p.holder->token() != 0 && p.holder->held_until() != before) {
       p.late_token = p.holder->token();
       p.late_until =
@@ -537,14 +538,14 @@
       }
     }
     observe(p);
-    if (p.closing && p.holder->next() == kNever && p.holder->token() == 0) {
+    if (p.closing && p.holder->next_tick() == kNever && p.holder->token() == 0) {
       kill_process(p, uniform(0, most_));
       return;
     }
     plan_wake(p);
   }
   void plan_wake(Process& p) {
-    const Time when = p.clock.when(p.holder->next());
+    const Time when = p.clock.when(p.holder->next_tick());
     if (when == kNever || when >= p.wake) return;
     p.wake = std::max(when, now_);
     at(p.wake + about(kMs), [this, &p, life = p.life] {
@@ -875,8 +876,8 @@
     note(Kind::kHealed, p.lease, p.who);
   }
   void hand_over(int lease) {
-    const auto it = table_.all().find(names_[lease]);
-    if (it == table_.all().end() || leader_ < 0) return;
+    const auto it = table_.by_name().find(names_[lease]);
+    if (it == table_.by_name().end() || leader_ < 0) return;
     const auto& line = it->second.queue;
     Entry entry;
     entry.kind = Entry::Kind::kCall;
@@ -884,8 +885,8 @@
     entry.call.kind = LeaseCommand::Kind::kHandOver;
     entry.call.name = names_[lease];
     entry.call.holder = "operator";
-    if (!line.empty() && faults_.chance(0.7)) entry.call.to = line[drawn(line.size())].holder;
-    const int to = entry.call.to.empty() ? -1 : who(entry.call.to);
+    if (!line.empty() && faults_.chance(0.7)) entry.call.handover_target = line[drawn(line.size())].holder;
+    const int to = entry.call.handover_target.empty() ? -1 : who(entry.call.handover_target);
     note(Kind::kHandOver, lease, to);
     propose(leader_, std::move(entry));
     if (to < 0 || !faults_.chance(0.4)) return;
--- a/lab/members.cpp
+++ b/lab/members.cpp
@@ -127,7 +127,7 @@
       continue;
     }
     net::http_call(stage_.io(), http(i), {"GET", "/registry/status", {}, "", milliseconds(300)},
-                   [this, i](const std::optional<net::HttpReply>& reply) {
+                   [this, i](const std::optional<net::HttpResponse>& reply) {
                      const json status = reply ? json::parse(reply->body, nullptr, false) : json();
                      if (!status.is_object()) return;
                      if (status["role"] == "leader") leader_ = static_cast<int>(i);
--- a/lab/registry_scenario.cpp
+++ b/lab/registry_scenario.cpp
@@ -14,7 +14,7 @@
 #include "lab/linearizability.h"
 #include "lab/members.h"
 #include "lab/test_environment.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "net/random.h"
 #include "registry/list_follower.h"
 
@@ -22,7 +22,7 @@
 namespace {
 
 namespace fs = std::filesystem;
-using net::HttpReply;
+using net::HttpResponse;
 using nlohmann::json;
 using Error = boost::system::error_code;
 using std::chrono::milliseconds;
@@ -53,7 +53,7 @@
   out.election_ms = r.integer("election_ms", out.election_ms, 50, 60'000);
   out.heartbeat_ms = r.integer("heartbeat_ms", out.heartbeat_ms, 10, 10'000);
   out.restore = r.flag("restore", out.restore);
-  r.done();
+  r.refuse_unknown_keys();
   for (const net::Section& one : file.tables("fault")) {
     RegistryFault f;
     const auto& names = Members::fault_names();
@@ -64,11 +64,11 @@
     f.for_s = one.number("for_s", 0, 0, 86400);
     f.every_s = one.number("every_s", 0, 0, 86400);
     f.times = one.integer("times", 1, 1, 100'000);
-    if (f.times > 1 && f.every_s <= 0) one.refuse("every_s", "must say how often");
-    one.done();
+    if (f.times > 1 && f.every_s <= 0) one.reject("every_s", "must say how often");
+    one.refuse_unknown_keys();
     out.faults.push_back(f);
   }
-  file.done();
+  file.refuse_unknown_keys();
   return out;
 }
 
@@ -108,7 +108,7 @@
   void crowd_watch(size_t index);
   void backup_and_restore();
   bool settled();
-  std::optional<HttpReply> wait_for(size_t member, net::HttpCall call);
+  std::optional<HttpResponse> wait_for(size_t member, net::HttpCall call);
   void finish(RegistryScenarioResult& out);
   Verdict linear() const;
   Verdict watches() const;
@@ -133,7 +133,7 @@
   std::vector<std::unique_ptr<Reader>> readers_;
   std::vector<std::unique_ptr<Watching>> followers_;
   struct Crowd {
-    std::shared_ptr<net::Lines> stream;
+    std::shared_ptr<net::JsonStream> stream;
     int64_t revision = -1;
     std::vector<std::pair<double, int64_t>> heard;
   };
@@ -188,7 +188,7 @@
     }
     op.kind = Operation::Kind::kSwap;
     net::http_call(play.io_, play.http(at), {"GET", call.target, {}, "", kCall},
-                   [this](const std::optional<HttpReply>& reply) {
+                   [this](const std::optional<HttpResponse>& reply) {
                      if (!reply || (reply->status != 200 && reply->status != 404)) return next();
                      const json entry = json::parse(reply->body, nullptr, false);
                      op.expect = reply->status == 404 ? 0 : entry.value("up_since_ms", uint64_t{0});
@@ -211,10 +211,10 @@
   void send() {
     const net::tcp::endpoint to = redirected.value_or(play.http(at));
     redirected.reset();
-    net::http_call(play.io_, to, call, [this](const std::optional<HttpReply>& reply) { heard(reply); });
+    net::http_call(play.io_, to, call, [this](const std::optional<HttpResponse>& reply) { heard(reply); });
   }
 
-  void heard(const std::optional<HttpReply>& reply) {
+  void heard(const std::optional<HttpResponse>& reply) {
     if (play.over_) return;
     if (!reply) maybe = true;
     if (reply && reply->status == 307 && reply->fields.contains("location")) {
@@ -279,7 +279,7 @@
   void ask(const net::tcp::endpoint& at, int redirects) {
     net::http_call(
         play.io_, at, {"GET", "/api/targets?consistent=1", {}, "", kCall},
-        [this, redirects](const std::optional<HttpReply>& reply) {
+        [this, redirects](const std::optional<HttpResponse>& reply) {
           if (play.over_) return;
           if (reply && reply->status == 307 && redirects > 0 && reply->fields.contains("location")) {
             const std::string& to = reply->fields.at("location");
@@ -312,7 +312,7 @@
     registry::ListFollowerSettings settings;
     for (size_t i = 0; i < play.members_.size(); ++i) settings.members.push_back(play.http(i));
     settings.guard.hold_ms = kFollowHold.count();
-    settings.callers = 2;
+    settings.follower_count = 2;
     settings.seed = seed;
     follower = std::make_unique<registry::ListFollower>(
         play.io_, settings, json(),
@@ -358,7 +358,7 @@
     if (!members_.up(i)) continue;
     net::http_call(
         io_, http(i), {"GET", "/api/targets", {}, "", milliseconds(static_cast<int>(kReadWithin * 1000))},
-        [this, &member, process = member.process](const std::optional<HttpReply>& reply) {
+        [this, &member, process = member.process](const std::optional<HttpResponse>& reply) {
           if (over_ || member.process != process || member.stopped) return;
           const bool well = reply && reply->status == 200;
           if (well) member.served = true;
@@ -395,13 +395,13 @@
     call.body =
         json({{"host_port", "127.0.0.1:81"}, {"ttl_ms", static_cast<int>(scenario_.ttl_s * 1000)}}).dump();
   }
-  const auto heard = std::make_shared<std::function<void(const std::optional<HttpReply>&, int)>>();
-  *heard = [this, endpoint, call, weak = std::weak_ptr(heard)](const std::optional<HttpReply>& reply,
+  const auto heard = std::make_shared<std::function<void(const std::optional<HttpResponse>&, int)>>();
+  *heard = [this, endpoint, call, weak = std::weak_ptr(heard)](const std::optional<HttpResponse>& reply,
                                                                int redirects) {
     if (reply && reply->status == 307 && redirects > 0 && reply->fields.contains("location")) {
       const std::string& to = reply->fields.at("location");
       return net::http_call(io_, net::parse_address(to.substr(7, to.find('/', 7) - 7)), call,
-                            [self = weak.lock(), redirects](const std::optional<HttpReply>& more) {
+                            [self = weak.lock(), redirects](const std::optional<HttpResponse>& more) {
                               (*self)(more, redirects - 1);
                             });
     }
@@ -413,7 +413,7 @@
           [this, endpoint, register_anew] { renew(endpoint, register_anew); });
   };
   net::http_call(io_, http(any_member()), call,
-                 [heard](const std::optional<HttpReply>& reply) { (*heard)(reply, 2); });
+                 [heard](const std::optional<HttpResponse>& reply) { (*heard)(reply, 2); });
 }
 
 void Play::crowd_watch(size_t index) {
@@ -428,8 +428,8 @@
     self.revision = std::max(self.revision, revision);
     return true;
   };
-  one.stream = std::make_shared<net::Lines>(
-      io_, http(any_member()), milliseconds(6000), heard, [this, index](net::Lines::End) {
+  one.stream = std::make_shared<net::JsonStream>(
+      io_, http(any_member()), milliseconds(6000), heard, [this, index](net::JsonStream::EndReason) {
         crowd_[index].stream->close();
         after(random_.between(0.05, 0.5), [this, index] { crowd_watch(index); });
       });
@@ -437,14 +437,14 @@
                     (one.revision >= 0 ? "&index=" + std::to_string(one.revision) : std::string()));
 }
 
-std::optional<HttpReply> Play::wait_for(size_t member, net::HttpCall call) {
+std::optional<HttpResponse> Play::wait_for(size_t member, net::HttpCall call) {
   return stage_.wait_for(http(member), std::move(call));
 }
 
 void Play::backup_and_restore() {
   after(scenario_.seconds / 3, [this] {
     net::http_call(io_, http(0), {"GET", "/registry/backup", {}, "", milliseconds(3000)},
-                   [this](const std::optional<HttpReply>& reply) {
+                   [this](const std::optional<HttpResponse>& reply) {
                      if (reply && reply->status == 200) backup_ = reply->body;
                    });
   });
@@ -452,7 +452,7 @@
     stage_.record("restore");
     const size_t at = members_.leader() >= 0 ? static_cast<size_t>(members_.leader()) : 0;
     net::http_call(io_, http(at), {"POST", "/registry/restore", {}, backup_, milliseconds(3000)},
-                   [this](const std::optional<HttpReply>& reply) {
+                   [this](const std::optional<HttpResponse>& reply) {
                      if (!reply || reply->status != 200) alive_.broken.push_back({"the restore failed", {}});
                    });
   });
@@ -552,7 +552,8 @@
     revision = has;
   }
   for (const auto& f : followers_) {
-    same = same && !f->follower->guard().holds() && f->follower->guard().revision() == *revision;
+    same =
+        same && !f->follower->guard().has_unconfirmed_list() && f->follower->guard().revision() == *revision;
   }
   for (const Crowd& one : crowd_) same = same && one.revision >= *revision;
   return same;
@@ -562,7 +563,7 @@
   members_.start();
   stage_.await([this] { return members_.leader() >= 0; }, 20, "the registry");
   const auto put = [&](const json& items) {
-    std::optional<HttpReply> reply;
+    std::optional<HttpResponse> reply;
     stage_.await(
         [&] {
           if (members_.leader() < 0) return false;
@@ -704,16 +705,16 @@
 }
 
 bool is_registry_scenario(const std::string& path) {
-  const net::Section file = net::Section::file(path);
+  const net::Section file = net::Section::from_file(path);
   return file.has("registry") && !file.table("registry").has("relays_follow");
 }
 
 RegistryScenario read_registry_scenario(const std::string& path) {
-  return read(net::Section::file(path), fs::path(path).stem());
+  return read(net::Section::from_file(path), fs::path(path).stem());
 }
 
 RegistryScenario parse_registry_scenario(const std::string& name, const std::string& toml) {
-  return read(net::Section::text(name, toml), name);
+  return read(net::Section::from_text(name, toml), name);
 }
 
 RegistryScenarioResult run_registry_scenario(const RegistryScenario& scenario,
--- a/lab/registry_scenario.h
+++ b/lab/registry_scenario.h
@@ -46,7 +46,7 @@
 };
 
 // Whether a file holds such a scenario, rather than one of relays that follow a registry. All three throw
-// net::BadInput.
+// net::InvalidInput.
 bool is_registry_scenario(const std::string& path);
 RegistryScenario read_registry_scenario(const std::string& path);
 RegistryScenario parse_registry_scenario(const std::string& name, const std::string& toml);
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -19,7 +19,7 @@
   out.give_up_s = s.number("give_up_s", out.give_up_s, 0.1, kDay);
   out.late_worth = s.number("late_worth", out.late_worth, 0, 1);
   out.share = s.number("share", out.share, 0, 1e6);
-  s.done();
+  s.refuse_unknown_keys();
   return out;
 }
 
@@ -44,7 +44,7 @@
   out.item_cost = s.number("item_cost", out.item_cost, 0, 1);
   out.handshake_ms = s.number("handshake_ms", out.handshake_ms, 0, 10'000);
   out.report_ms = s.range("report_ms", out.report_ms, 1, 60'000);
-  s.done();
+  s.refuse_unknown_keys();
   return out;
 }
 
@@ -79,7 +79,7 @@
   out.zone = s.word("zone", "");
   const auto& zones = scenario.zones;
   if (!out.zone.empty() && std::find(zones.begin(), zones.end(), out.zone) == zones.end()) {
-    s.refuse("zone", "is '" + out.zone + "', which [fleet] zones does not name");
+    s.reject("zone", "is '" + out.zone + "', which [fleet] zones does not name");
   }
   const bool link = out.kind == FaultKind::kCut || out.kind == FaultKind::kLoss ||
                     out.kind == FaultKind::kDelay || out.kind == FaultKind::kReset;
@@ -88,7 +88,7 @@
   const Range size = sizes(out.kind);
   if (size.high > 0) out.size = s.number("size", {}, size.low, size.high);
   if (out.kind == FaultKind::kKill) out.folder_lost = s.word("folder", "keep", {"keep", "lost"}) == "lost";
-  s.done();
+  s.refuse_unknown_keys();
   return out;
 }
 
@@ -100,7 +100,7 @@
   const Section fleet = root.table("fleet");
   out.relays = fleet.integer("relays", out.relays, 1, 500);
   out.zones = fleet.words("zones", out.zones);
-  if (out.zones.empty()) fleet.refuse("zones", "is empty");
+  if (out.zones.empty()) fleet.reject("zones", "is empty");
   out.memory_mb = fleet.number("memory_mb", out.memory_mb, 8, 100'000);
   out.sockets = fleet.integer("sockets", out.sockets, 64, 100'000);
   out.disk_mb = fleet.number("disk_mb", out.disk_mb, 0.1, 100'000);
@@ -108,7 +108,7 @@
   out.hold_s = fleet.range("hold_s", out.hold_s, 0.1, 1000);
   out.max_attempts = fleet.integer("max_attempts", out.max_attempts, 1, 100);
   out.ready_within_s = fleet.number("ready_within_s", out.ready_within_s, 0.1, 600);
-  fleet.done();
+  fleet.refuse_unknown_keys();
 
   const Section load = root.table("load");
   out.seconds = load.number("seconds", out.seconds, 0.1, kDay);
@@ -123,7 +123,7 @@
   out.hot_s = load.range("hot_s", out.hot_s, 0, kDay);
   out.body_bytes = load.range("body_bytes", out.body_bytes, 1, 60'000);
   out.tenants = load.words("tenants", {});
-  load.done();
+  load.refuse_unknown_keys();
 
   const Section clients = root.table("clients");
   out.patience_ms = clients.number("patience_ms", out.patience_ms, 1, 60'000);
@@ -131,21 +131,21 @@
   out.again_ms = clients.range("again_ms", out.again_ms, 1, 60'000);
   out.lost_again_ms = clients.range("lost_again_ms", out.lost_again_ms, 1, 60'000);
   out.notice_s = clients.number("notice_s", out.notice_s, 0, 60);
-  clients.done();
+  clients.refuse_unknown_keys();
 
   const Section discovery = root.table("discovery");
   out.discovery_call_ms = discovery.number("call_ms", out.discovery_call_ms, 0, 10'000);
   out.discovery_give_up_s = discovery.number("give_up_s", out.discovery_give_up_s, 0.01, 60);
   out.discovery_late_s = discovery.range("late_s", out.discovery_late_s, 0, 5);
   out.discovery_form = discovery.word("form", out.discovery_form, {"line", "indented", "spaced", "pieces"});
-  discovery.done();
+  discovery.refuse_unknown_keys();
 
   if (root.has("registry")) {
     const Section registry = root.table("registry");
     if (!registry.flag("relays_follow", {}))
-      registry.refuse("relays_follow", "is false: leave [registry] out");
+      registry.reject("relays_follow", "is false: leave [registry] out");
     out.registry_members = registry.integer("members", 1, 1, 5);
-    registry.done();
+    registry.refuse_unknown_keys();
   }
 
   const Section recovery = root.table("recovery");
@@ -153,21 +153,21 @@
   out.start_capacity = recovery.number("start_capacity", out.start_capacity, 0.01, 1);
   out.fall_multiple = recovery.number("fall_multiple", out.fall_multiple, 1, 1000);
   out.fall_s = recovery.number("fall_s", out.fall_s, 0.1, 60);
-  recovery.done();
+  recovery.refuse_unknown_keys();
 
   for (const Section& s : root.tables("class")) out.classes.push_back(read_class(s));
   if (out.classes.empty()) out.classes.push_back({"call-event", "keyed", "all", 15, 3, 24, 0.3, 1});
   for (const Section& s : root.tables("receivers")) out.kinds.push_back(read_kind(s));
-  if (out.kinds.empty()) root.refuse("receivers", "is missing: write at least one [[receivers]]");
+  if (out.kinds.empty()) root.reject("receivers", "is missing: write at least one [[receivers]]");
   for (const Section& s : root.tables("fault")) out.faults.push_back(read_fault(s, out));
 
   const Section drawn = root.table("drawn");
   const auto& names = fault_names();
   out.drawn.per_minute = drawn.number("per_minute", 0, 0, 600);
   out.drawn.kinds = drawn.words("kinds", {}, {names.begin(), names.end()});
-  if (out.drawn.per_minute > 0 && out.drawn.kinds.empty()) drawn.refuse("kinds", "is missing");
-  drawn.done();
-  root.done();
+  if (out.drawn.per_minute > 0 && out.drawn.kinds.empty()) drawn.reject("kinds", "is missing");
+  drawn.refuse_unknown_keys();
+  root.refuse_unknown_keys();
   return out;
 }
 
@@ -180,10 +180,10 @@
   return kNames;
 }
 
-Scenario read_scenario(const std::string& path) { return read(Section::file(path)); }
+Scenario read_scenario(const std::string& path) { return read(Section::from_file(path)); }
 
 Scenario parse_scenario(const std::string& name, const std::string& toml) {
-  return read(Section::text(name, toml));
+  return read(Section::from_text(name, toml));
 }
 
 }  // namespace turntally::lab
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -138,7 +138,7 @@
   Drawn drawn;
 };
 
-// Both throw net::BadInput.
+// Both throw net::InvalidInput.
 Scenario read_scenario(const std::string& path);
 Scenario parse_scenario(const std::string& name, const std::string& toml);
 
--- a/lab/test_environment.cpp
+++ b/lab/test_environment.cpp
@@ -39,10 +39,10 @@
   return boost::asio::ip::address_v4((127U << 24) | (net_ << 8) | static_cast<uint32_t>(host));
 }
 
-std::optional<net::HttpReply> TestEnvironment::wait_for(const net::tcp::endpoint& to, net::HttpCall call) {
-  std::optional<net::HttpReply> out;
+std::optional<net::HttpResponse> TestEnvironment::wait_for(const net::tcp::endpoint& to, net::HttpCall call) {
+  std::optional<net::HttpResponse> out;
   bool done = false;
-  net::http_call(io_, to, std::move(call), [&](std::optional<net::HttpReply> reply) {
+  net::http_call(io_, to, std::move(call), [&](std::optional<net::HttpResponse> reply) {
     out = std::move(reply);
     done = true;
   });
--- a/lab/test_environment.h
+++ b/lab/test_environment.h
@@ -27,7 +27,7 @@
   boost::asio::ip::address_v4 address(int host) const;
 
   // Both run the loop meanwhile. `await` throws NotReady.
-  std::optional<net::HttpReply> wait_for(const net::tcp::endpoint& to, net::HttpCall call);
+  std::optional<net::HttpResponse> wait_for(const net::tcp::endpoint& to, net::HttpCall call);
   void await(const std::function<bool()>& ready, double most, const std::string& who);
 
  private:
--- a/lease/lease_client.cpp
+++ b/lease/lease_client.cpp
@@ -32,13 +32,13 @@
 
 milliseconds to_ms(Time span) { return milliseconds(span / 1000); }
 
-json parse_body(const net::HttpReply& reply) {
+json parse_body(const net::HttpResponse& reply) {
   json body = json::parse(reply.body, nullptr, false);
   return body.is_object() ? body : json::object();
 }
 
 // Interprets a reply of the registry. One with missing or malformed fields counts as kFailed.
-LeaseReply parse_reply(const std::optional<net::HttpReply>& reply, size_t& queue_place) {
+LeaseReply parse_reply(const std::optional<net::HttpResponse>& reply, size_t& queue_place) {
   LeaseReply result;
   if (!reply) return result;
   try {
@@ -68,8 +68,8 @@
     : io_(io),
       settings_(settings),
       listener_(std::move(listener)),
-      state_(settings.holder),
-      caller_(io, settings.members, settings.holder.seed),
+      state_(settings.lease),
+      caller_(io, settings.members, settings.lease.seed),
       timer_(io),
       close_timer_(io) {}
 
@@ -83,7 +83,7 @@
                                    : static_cast<Time>(static_cast<double>(true_time) * settings_.clock_rate);
 }
 
-milliseconds LeaseClient::left() const {
+milliseconds LeaseClient::time_left() const {
   return is_held() ? to_ms(state_.held_until() - now()) : milliseconds(0);
 }
 
@@ -99,7 +99,7 @@
   if (close_called_) return;
   close_called_ = true;
   closed_ = std::move(closed);
-  close_timer_.expires_after(2 * to_ms(settings_.holder.answer));
+  close_timer_.expires_after(2 * to_ms(settings_.lease.reply_timeout));
   close_timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
     if (*alive && !error) notify_closed();
   });
@@ -123,23 +123,23 @@
       send(*request);
     } else if (const auto* acquired = std::get_if<LeaseAcquired>(&action)) {
       release_notified_ = false;
-      deliver([this, lease = *acquired] { listener_.begin(lease.token, lease.checkpoint); });
+      deliver([this, lease = *acquired] { listener_.on_acquired(lease.token, lease.checkpoint); });
     } else if (const auto* lost = std::get_if<LeaseLost>(&action)) {
-      deliver([this, reason = lost->reason] { listener_.stop(reason); });
+      deliver([this, reason = lost->reason] { listener_.on_lost(reason); });
     }
   }
   if (state_.release_requested() && !std::exchange(release_notified_, true)) {
-    deliver([this] { listener_.asked_back(); });
+    deliver([this] { listener_.on_release_requested(); });
   }
   schedule_tick();
 }
 
 void LeaseClient::schedule_tick() {
-  if (state_.next() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to release
+  if (state_.next_tick() == std::numeric_limits<Time>::max()) {  // closed, and nothing is left to release
     timer_.cancel();
     return deliver([this] { notify_closed(); });
   }
-  const Time span = std::clamp(state_.next() - now(), Time{0}, kMaxTimerSpan);
+  const Time span = std::clamp(state_.next_tick() - now(), Time{0}, kMaxTimerSpan);
   timer_.expires_after(
       std::chrono::microseconds(static_cast<Time>(static_cast<double>(span) / settings_.clock_rate)));
   timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
@@ -148,20 +148,20 @@
 }
 
 void LeaseClient::send(const LeaseRequest& request) {
-  json body = {{"call", call_name(request.kind)}, {"holder", settings_.holder.holder}};
-  if (request.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.holder.ttl / 1000;
+  json body = {{"call", call_name(request.kind)}, {"holder", settings_.lease.holder}};
+  if (request.kind == LeaseRequest::Kind::kCampaign) body["ttl_ms"] = settings_.lease.ttl / 1000;
   if (request.kind != LeaseRequest::Kind::kCampaign) body["token"] = request.token;
   caller_.call(
-      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), to_ms(settings_.holder.answer)},
-      [this, number = request.number](const std::optional<net::HttpReply>& reply) {
+      {"POST", "/api/leases/" + settings_.lease.name, {}, body.dump(), to_ms(settings_.lease.reply_timeout)},
+      [this, number = request.number](const std::optional<net::HttpResponse>& reply) {
         queue_place_ = 0;
         log_error(reply);
-        perform(state_.answered(now(), number, parse_reply(reply, queue_place_)));
+        perform(state_.on_reply(now(), number, parse_reply(reply, queue_place_)));
       });
 }
 
 // Logs an error only when it changes, because a refused call is repeated over and over.
-void LeaseClient::log_error(const std::optional<net::HttpReply>& reply) {
+void LeaseClient::log_error(const std::optional<net::HttpResponse>& reply) {
   std::string error = reply ? "" : "no member of the registry answers in time";
   if (reply && reply->status != 200) {
     const json body = parse_body(*reply);
@@ -171,21 +171,24 @@
   }
   if (error == last_error_) return;
   last_error_ = error;
-  if (!error.empty()) net::log::warn("lease_not_answered", "lease", settings_.holder.name, "why", error);
+  if (!error.empty()) net::log::warn("lease_not_answered", "lease", settings_.lease.name, "why", error);
 }
 
 void LeaseClient::save_checkpoint(const std::string& text, std::function<void(CheckpointResult)> done) {
   const json body = {
-      {"call", "record"}, {"holder", settings_.holder.holder}, {"token", token()}, {"record", text}};
-  caller_.call(
-      {"POST", "/api/leases/" + settings_.holder.name, {}, body.dump(), std::min(kCheckpointTimeout, left())},
-      [done = std::move(done)](const std::optional<net::HttpReply>& reply) {
-        if (!reply) return done(CheckpointResult::kFailed);
-        if (reply->status == 200) return done(CheckpointResult::kDone);
-        const std::string code = parse_body(*reply).value("code", "");
-        done(code == "lease_fenced" || code == "lease_unknown" ? CheckpointResult::kFenced
-                                                               : CheckpointResult::kFailed);
-      });
+      {"call", "record"}, {"holder", settings_.lease.holder}, {"token", token()}, {"record", text}};
+  caller_.call({"POST",
+                "/api/leases/" + settings_.lease.name,
+                {},
+                body.dump(),
+                std::min(kCheckpointTimeout, time_left())},
+               [done = std::move(done)](const std::optional<net::HttpResponse>& reply) {
+                 if (!reply) return done(CheckpointResult::kFailed);
+                 if (reply->status == 200) return done(CheckpointResult::kDone);
+                 const std::string code = parse_body(*reply).value("code", "");
+                 done(code == "lease_fenced" || code == "lease_unknown" ? CheckpointResult::kFenced
+                                                                        : CheckpointResult::kFailed);
+               });
 }
 
 }  // namespace turntally::lease
--- a/lease/lease_client.h
+++ b/lease/lease_client.h
@@ -15,7 +15,7 @@
 namespace turntally::lease {
 
 struct LeaseClientSettings {
-  LeaseSettings holder;
+  LeaseSettings lease;
   std::vector<net::tcp::endpoint> members;  // of the registry
   double clock_rate = 1;  // for tests of clock drift: rate of this process's clock, 0.9 to 1.1
 };
@@ -24,9 +24,9 @@
  public:
   // Callbacks are never called from within a call of this class.
   struct Listener {
-    std::function<void(Token token, const std::string& checkpoint)> begin;  // acts may begin
-    std::function<void(const std::string& reason)> stop;                    // no more acts may begin
-    std::function<void()> asked_back;  // finish soon, then call release()
+    std::function<void(Token token, const std::string& checkpoint)> on_acquired;  // acts may begin
+    std::function<void(const std::string& reason)> on_lost;                       // no more acts may begin
+    std::function<void()> on_release_requested;  // finish soon, then call release()
   };
   enum class CheckpointResult { kDone, kFenced, kFailed };  // kFailed: it may have been stored
 
@@ -44,11 +44,11 @@
   // Returns whether an act may begin; call it right before each act. Works without the event loop, so also in
   // a process that was stopped for a while.
   bool is_held() const { return state_.is_held(now()); }
-  std::chrono::milliseconds left() const;  // in which acts may begin
+  std::chrono::milliseconds time_left() const;  // in which acts may begin
   Token token() const { return state_.token(); }
   bool release_requested() const { return state_.release_requested(); }
-  const LeaseSettings& settings() const { return settings_.holder; }
-  size_t place() const { return queue_place_; }  // 0: not known to be queued
+  const LeaseSettings& settings() const { return settings_.lease; }
+  size_t queue_place() const { return queue_place_; }  // 0: not known to be queued
 
   // Why the last call for the lease failed; empty if it succeeded.
   const std::string& last_error() const { return last_error_; }
@@ -61,7 +61,7 @@
   void perform(const std::vector<Action>& actions);
   void send(const LeaseRequest& request);
   void schedule_tick();
-  void log_error(const std::optional<net::HttpReply>& reply);
+  void log_error(const std::optional<net::HttpResponse>& reply);
   void deliver(std::function<void()> event);
   void notify_closed();
 
--- a/lease/lease_state.cpp
+++ b/lease/lease_state.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 LeaseState::LeaseState(LeaseSettings settings)
-    : settings_(std::move(settings)), random_(settings_.seed), backoff_(settings_.first_pause) {}
+    : settings_(std::move(settings)), random_(settings_.seed), backoff_(settings_.initial_backoff) {}
 
 std::vector<Action> LeaseState::start(Time now) {
   if (!wanted_) next_request_ = std::max(next_request_, now);
@@ -25,7 +25,7 @@
   return step(now);
 }
 
-std::vector<Action> LeaseState::answered(Time now, uint64_t number, const LeaseReply& reply) {
+std::vector<Action> LeaseState::on_reply(Time now, uint64_t number, const LeaseReply& reply) {
   // Applies timeouts first, so that a reply after its call's timeout finds no call in flight.
   std::vector<Action> actions = step(now);
   if (!in_flight_ || in_flight_->request.number != number) return actions;
@@ -35,7 +35,7 @@
     case LeaseRequest::Kind::kRelease:
       if (reply.kind == LeaseReply::Kind::kGranted || reply.kind == LeaseReply::Kind::kFenced) {
         release_.reset();
-        backoff_ = settings_.first_pause;
+        backoff_ = settings_.initial_backoff;
       }
       next_request_ = now + next_backoff();
       break;
@@ -72,7 +72,7 @@
       retry_later(now, reply);
     }
   } else if (reply.kind == LeaseReply::Kind::kQueued) {
-    backoff_ = settings_.first_pause;
+    backoff_ = settings_.initial_backoff;
     next_request_ = release_ ? now : std::max(now, call.sent + renewal_interval());
   } else {
     retry_later(now, reply);
@@ -107,11 +107,11 @@
 Token LeaseState::token() const { return token_; }
 bool LeaseState::release_requested() const { return release_requested_; }
 
-Time LeaseState::next() const {
+Time LeaseState::next_tick() const {
   Time due = kNever;
   if (token_ != 0) due = std::min(due, until_);
   if (in_flight_) {
-    due = std::min(due, in_flight_->sent + settings_.answer);
+    due = std::min(due, in_flight_->sent + settings_.reply_timeout);
   } else if (release_) {
     due = std::min({due, next_request_, release_->until});
   } else if (wanted_ || token_ != 0) {
@@ -123,7 +123,7 @@
 std::vector<Action> LeaseState::step(Time now) {
   std::vector<Action> actions;
   if (token_ != 0 && now >= until_) lose_grant(now, "margin", actions);
-  if (in_flight_ && now - in_flight_->sent >= settings_.answer) {
+  if (in_flight_ && now - in_flight_->sent >= settings_.reply_timeout) {
     in_flight_.reset();
     next_request_ = now + next_backoff();
   }
@@ -150,7 +150,7 @@
 void LeaseState::extend(Time now, Time sent, const LeaseReply& reply) {
   until_ = sent + usable_ttl();
   release_requested_ = release_requested_ || reply.release_requested;
-  backoff_ = settings_.first_pause;
+  backoff_ = settings_.initial_backoff;
   next_request_ = std::max(now, sent + renewal_interval());
 }
 
@@ -186,7 +186,7 @@
 }
 
 Time LeaseState::renewal_interval() {
-  const double interval = static_cast<double>(usable_ttl()) / std::max(settings_.renewals, 1);
+  const double interval = static_cast<double>(usable_ttl()) / std::max(settings_.renewals_per_ttl, 1);
   return static_cast<Time>(interval * random_.between(0.7, 0.95));
 }
 
@@ -194,8 +194,8 @@
 // grant is held, the pause is at most the interval between two renewals.
 Time LeaseState::next_backoff() {
   Time max_pause = backoff_;
-  if (token_ != 0) max_pause = std::min(max_pause, usable_ttl() / std::max(settings_.renewals, 1));
-  backoff_ = std::min(2 * backoff_, settings_.most_pause);
+  if (token_ != 0) max_pause = std::min(max_pause, usable_ttl() / std::max(settings_.renewals_per_ttl, 1));
+  backoff_ = std::min(2 * backoff_, settings_.max_backoff);
   return static_cast<Time>(random_.between(0, static_cast<double>(max_pause)));
 }
 
--- a/lease/lease_state.h
+++ b/lease/lease_state.h
@@ -29,12 +29,12 @@
   // Share of the TTL before whose end a holder stops. With `drift` of both clocks and jumps of the log's
   // clock by two ticks: 1 - margin <= (1 - drift) / (1 + drift) x (1 - 2 tick / TTL) (docs/leases.md).
   double margin = 0.25;
-  int renewals = 4;       // within a TTL less the margin
-  Time answer = 500'000;  // a later reply is ignored; the call is repeated
+  int renewals_per_ttl = 4;      // within a TTL less the margin
+  Time reply_timeout = 500'000;  // a later reply is ignored; the call is repeated
   // Upper bound of the random pause before the next call after a failure or a lost lease, doubled each time
   // up to `max_backoff`.
-  Time first_pause = 50'000;
-  Time most_pause = 2'000'000;
+  Time initial_backoff = 50'000;
+  Time max_backoff = 2'000'000;
   uint64_t seed = 0;
 };
 
@@ -80,7 +80,7 @@
   // Events. Each returns the actions to carry out, in order. `now` never goes back.
   std::vector<Action> start(Time now);  // campaigns from now on
   // Ignores replies that are late, duplicated or for unknown calls.
-  std::vector<Action> answered(Time now, uint64_t number, const LeaseReply&);
+  std::vector<Action> on_reply(Time now, uint64_t number, const LeaseReply&);
   std::vector<Action> tick(Time now);
   std::vector<Action> release(Time now);  // after release_requested(), once no act is in flight
   std::vector<Action> close(Time now);    // releases the lease and stops campaigning
@@ -93,7 +93,7 @@
   bool release_requested() const;  // another process is to get the lease: finish soon, then call release()
   // Returns when tick() is due at the latest; the maximum Time if nothing is left to do, that is after
   // close() once the lease has been released or has expired.
-  Time next() const;
+  Time next_tick() const;
 
  private:
   struct InFlight {
--- a/lease/registry_caller.cpp
+++ b/lease/registry_caller.cpp
@@ -49,13 +49,12 @@
     net::HttpCall call = call_;
     call.timeout = std::max(std::min(time_left, call_.timeout / 2), kMinTimeout);
     net::http_call(shared->io, shared->current, std::move(call),
-                   [self = shared_from_this(), from = shared->current](std::optional<net::HttpReply> reply) {
-                     self->on_reply(from, std::move(reply));
-                   });
+                   [self = shared_from_this(), from = shared->current](
+                       std::optional<net::HttpResponse> reply) { self->on_reply(from, std::move(reply)); });
   }
 
  private:
-  void on_reply(const net::tcp::endpoint& from, std::optional<net::HttpReply> reply) {
+  void on_reply(const net::tcp::endpoint& from, std::optional<net::HttpResponse> reply) {
     const auto shared = shared_.lock();
     if (!shared) return;
     if (reply && reply->status == 307 && redirects_ < kMaxRedirects && has_time_left()) {
@@ -87,7 +86,7 @@
   Done done_;
   Clock::time_point deadline_;
   int redirects_ = 0;
-  std::optional<net::HttpReply> last_reply_;
+  std::optional<net::HttpResponse> last_reply_;
 };
 
 RegistryCaller::RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members,
--- a/lease/registry_caller.h
+++ b/lease/registry_caller.h
@@ -16,7 +16,7 @@
 
 class RegistryCaller {
  public:
-  using Done = std::function<void(std::optional<net::HttpReply>)>;
+  using Done = std::function<void(std::optional<net::HttpResponse>)>;
 
   RegistryCaller(boost::asio::io_context& io, std::vector<net::tcp::endpoint> members, uint64_t seed);
 
--- a/net/address.cpp
+++ b/net/address.cpp
@@ -32,14 +32,14 @@
   boost::system::error_code error;
   const auto deadline = std::chrono::steady_clock::now() + kMaxShortageTime;
   acceptor.open(address.protocol(), error);
-  while (is_passing_shortage(error) && std::chrono::steady_clock::now() < deadline) {
+  while (is_transient_shortage(error) && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kShortagePause);
     acceptor.open(address.protocol(), error);
   }
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
   if (!error) acceptor.bind(address, error);
   if (!error) acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
-  if (error) throw CannotListen(text_of(address), error.message());
+  if (error) throw ListenError(text_of(address), error.message());
 }
 
 std::string text_of(const tcp::endpoint& address) {
--- a/net/backoff.cpp
+++ b/net/backoff.cpp
@@ -27,13 +27,13 @@
       current_span_(initial_span_),
       random_(seed) {}
 
-milliseconds Backoff::next(milliseconds max_delay) {
+milliseconds Backoff::next_delay(milliseconds max_delay) {
   const milliseconds pause = draw(milliseconds(0), std::min(current_span_, max_delay));
   current_span_ = std::min(2 * current_span_, max_span_);
   return pause;
 }
 
-milliseconds Backoff::again(milliseconds call_duration) {
+milliseconds Backoff::delay_after_failure(milliseconds call_duration) {
   const milliseconds distance = current_span_;
   current_span_ = std::min(2 * current_span_, max_span_);
   return std::max(milliseconds(0), distance - call_duration);
--- a/net/backoff.h
+++ b/net/backoff.h
@@ -16,11 +16,12 @@
 
   // Returns a random delay before the next call, at most the current span and `max_delay`, and doubles the
   // span up to its bound.
-  std::chrono::milliseconds next(std::chrono::milliseconds max_delay = std::chrono::milliseconds::max());
+  std::chrono::milliseconds next_delay(
+      std::chrono::milliseconds max_delay = std::chrono::milliseconds::max());
   // Returns the delay after a call that failed `call_duration` after its start, and doubles the span. The
   // span separates the starts of calls, so that callers stay spread and the duration of a failed call is not
   // added.
-  std::chrono::milliseconds again(std::chrono::milliseconds call_duration);
+  std::chrono::milliseconds delay_after_failure(std::chrono::milliseconds call_duration);
   void reset() { current_span_ = initial_span_; }  // after a call that was answered
 
  private:
--- a/net/http.cpp
+++ b/net/http.cpp
@@ -82,8 +82,8 @@
     state_ = State::kReading;
     parser_.emplace();
     parser_->header_limit(kMaxHeadBytes);
-    parser_->body_limit(owner_->limits_.body);
-    stream_.expires_after(owner_->limits_.idle);
+    parser_->body_limit(owner_->limits_.max_body_bytes);
+    stream_.expires_after(owner_->limits_.idle_timeout);
     http::async_read(stream_, buffer_, *parser_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
       if (error == http::error::body_limit)
@@ -102,11 +102,11 @@
 
   bool is_streaming() const { return state_ == State::kStreaming; }
 
-  bool idle() const override { return owner_ != nullptr && is_streaming() && chunk_ == nullptr; }
+  bool is_idle() const override { return owner_ != nullptr && is_streaming() && chunk_ == nullptr; }
 
-  void write(Shared chunk) override {
+  void write(SharedBytes chunk) override {
     chunk_ = std::move(chunk);
-    stream_.expires_after(owner_->limits_.write);
+    stream_.expires_after(owner_->limits_.write_timeout);
     boost::asio::async_write(stream_, boost::asio::buffer(*chunk_),
                              [self = shared_from_this()](const Error& error, size_t) {
                                if (self->owner_ == nullptr) return;
@@ -148,18 +148,18 @@
   enum class State { kReading, kResponding, kStreaming, kLingering };
 
   // Responses may come after the connection has ended.
-  class Responder : public HttpAnswer {
+  class Responder : public HttpResponder {
    public:
     Responder(std::weak_ptr<Session> session, bool keep_alive)
         : session_(std::move(session)), keep_alive_(keep_alive) {}
     ~Responder() override {
       if (!has_answered_) reply({500, "{\"error\":\"no answer\"}\n", "application/json", {}});
     }
-    void reply(HttpReply reply) override {
+    void reply(HttpResponse reply) override {
       has_answered_ = true;
       if (const auto session = session_.lock()) session->reply(std::move(reply), keep_alive_);
     }
-    std::shared_ptr<HttpStream> stream(const HttpReply& head, std::function<void()> written,
+    std::shared_ptr<HttpStream> stream(const HttpResponse& head, std::function<void()> written,
                                        std::function<void()> ended) override {
       has_answered_ = true;
       const auto session = session_.lock();
@@ -182,18 +182,18 @@
     owner_->handle_(request, std::make_shared<Responder>(weak_from_this(), keep_alive));
   }
 
-  void reply(HttpReply reply, bool keep_alive) {
+  void reply(HttpResponse reply, bool keep_alive) {
     if (owner_ == nullptr) return;
     state_ = State::kResponding;
     response_ = {};
     response_.version(11);
     response_.result(static_cast<unsigned>(reply.status));
-    if (!reply.body.empty()) response_.set(http::field::content_type, reply.type);
+    if (!reply.body.empty()) response_.set(http::field::content_type, reply.content_type);
     for (const auto& [name, value] : reply.fields) response_.set(name, value);
     response_.keep_alive(keep_alive);
     response_.body() = std::move(reply.body);
     response_.prepare_payload();
-    stream_.expires_after(owner_->limits_.write);
+    stream_.expires_after(owner_->limits_.write_timeout);
     http::async_write(stream_, response_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
       if (error) return self->end();
@@ -203,15 +203,16 @@
 
   void linger() {
     state_ = State::kLingering;
-    net::linger(stream_, {kLingerBodies * owner_->limits_.body, owner_->limits_.linger},
+    net::linger(stream_, {kLingerBodies * owner_->limits_.max_body_bytes, owner_->limits_.linger_timeout},
                 [self = shared_from_this()] { self->end(); });
   }
 
-  void start_stream(const HttpReply& head, std::function<void()> written, std::function<void()> ended) {
+  void start_stream(const HttpResponse& head, std::function<void()> written, std::function<void()> ended) {
     state_ = State::kStreaming;
     on_written_ = std::move(written);
     on_ended_ = std::move(ended);
-    std::string text = "HTTP/1.1 200 OK\r\nContent-Type: " + head.type + "\r\nTransfer-Encoding: chunked\r\n";
+    std::string text =
+        "HTTP/1.1 200 OK\r\nContent-Type: " + head.content_type + "\r\nTransfer-Encoding: chunked\r\n";
     for (const auto& [name, value] : head.fields) text.append(name).append(": ").append(value).append("\r\n");
     write(std::make_shared<std::string>(text + "\r\n"));
     await_close();
@@ -232,14 +233,14 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
   State state_ = State::kReading;
-  Shared chunk_;
+  SharedBytes chunk_;
   std::function<void()> on_written_;
   std::function<void()> on_ended_;
   char discarded_byte_ = 0;
 };
 
 HttpServer::HttpServer(boost::asio::io_context& io, const tcp::endpoint& listen, HttpLimits limits,
-                       Handle handle)
+                       RequestHandler handle)
     : acceptor_(io), accept_timer_(io), limits_(limits), handle_(std::move(handle)) {
   net::listen(acceptor_, listen);
   accept();
@@ -262,7 +263,7 @@
     auto session = std::make_shared<Session>(*this, std::move(socket));
     session->place = sessions_.insert(sessions_.end(), session);
     session->read();
-    if (sessions_.size() <= limits_.connections) return accept();
+    if (sessions_.size() <= limits_.max_connections) return accept();
     boost::asio::post(acceptor_.get_executor(), [this, alive] {
       if (!alive.expired()) make_room(false);
     });
@@ -273,7 +274,7 @@
 // requests that arrived no later than the new connection are read first. The new connection itself can be
 // closed only after a pause in which it may send a request.
 void HttpServer::make_room(bool may_close_newest) {
-  if (sessions_.size() > limits_.connections) {
+  if (sessions_.size() > limits_.max_connections) {
     const auto end = may_close_newest ? sessions_.end() : std::prev(sessions_.end());
     const auto first = [&](bool (Session::*is)() const) {
       return std::find_if(sessions_.begin(), end, [is](const auto& session) { return ((*session).*is)(); });
@@ -282,7 +283,7 @@
     if (victim == end) victim = first(&Session::is_streaming);
     if (victim != end) std::shared_ptr<Session>(*victim)->end();
   }
-  if (sessions_.size() <= limits_.connections) return accept();
+  if (sessions_.size() <= limits_.max_connections) return accept();
   accept_timer_.expires_after(kAcceptPause);
   accept_timer_.async_wait([this, alive = std::weak_ptr(alive_)](const Error& stopped) {
     if (!alive.expired() && !stopped) make_room(true);
@@ -293,7 +294,7 @@
 
 class Client : public std::enable_shared_from_this<Client> {
  public:
-  Client(boost::asio::io_context& io, std::function<void(std::optional<HttpReply>)> done)
+  Client(boost::asio::io_context& io, std::function<void(std::optional<HttpResponse>)> done)
       : stream_(io), on_done_(std::move(done)) {}
 
   void start(const tcp::endpoint& to, HttpCall call) {
@@ -306,7 +307,7 @@
     request_.body() = std::move(call.body);
     request_.prepare_payload();
     response_.body_limit(boost::none);
-    on_connected_ = std::move(call.connected);
+    on_connected_ = std::move(call.on_connected);
     stream_.expires_after(call.timeout);
     stream_.async_connect(to, [self = shared_from_this()](const Error& error) {
       if (error) return self->on_done_({});
@@ -322,7 +323,7 @@
  private:
   void read(const Error& error) {
     if (error) return on_done_({});
-    HttpReply reply;
+    HttpResponse reply;
     reply.status = static_cast<int>(response_.get().result_int());
     for (const auto& field : response_.get()) {
       std::string name(field.name_string());
@@ -337,21 +338,21 @@
   boost::beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
   http::response_parser<http::string_body> response_;
-  std::function<void(std::optional<HttpReply>)> on_done_;
+  std::function<void(std::optional<HttpResponse>)> on_done_;
   std::function<void()> on_connected_;
 };
 
 }  // namespace
 
 void http_call(boost::asio::io_context& io, const tcp::endpoint& to, HttpCall call,
-               std::function<void(std::optional<HttpReply>)> done) {
+               std::function<void(std::optional<HttpResponse>)> done) {
   std::make_shared<Client>(io, std::move(done))->start(to, std::move(call));
 }
 
-std::optional<HttpReply> http_call(const tcp::endpoint& to, HttpCall call) {
+std::optional<HttpResponse> http_call(const tcp::endpoint& to, HttpCall call) {
   boost::asio::io_context io;
-  std::optional<HttpReply> out;
-  http_call(io, to, std::move(call), [&out](std::optional<HttpReply> reply) { out = std::move(reply); });
+  std::optional<HttpResponse> out;
+  http_call(io, to, std::move(call), [&out](std::optional<HttpResponse> reply) { out = std::move(reply); });
   io.run();
   return out;
 }
--- a/net/http.h
+++ b/net/http.h
@@ -18,7 +18,7 @@
 namespace turntally::net {
 
 // A body shared by many responses: encoded once, sent many times.
-using Shared = std::shared_ptr<const std::string>;
+using SharedBytes = std::shared_ptr<const std::string>;
 
 struct HttpRequest {
   std::string method;                         // "GET"
@@ -29,10 +29,10 @@
   std::string body;
 };
 
-struct HttpReply {
+struct HttpResponse {
   int status = 200;
   std::string body;
-  std::string type = "application/json";
+  std::string content_type = "application/json";
   std::map<std::string, std::string> fields;
 };
 
@@ -41,47 +41,48 @@
  public:
   virtual ~HttpStream() = default;
   // Returns whether a chunk can be written: no write is in progress and the stream has not ended.
-  virtual bool idle() const = 0;
+  virtual bool is_idle() const = 0;
   // Sends a chunk made by http_chunk(). Requires is_idle().
-  virtual void write(Shared chunk) = 0;
+  virtual void write(SharedBytes chunk) = 0;
   virtual void close() = 0;
 };
 
 std::string http_chunk(const std::string& text);
 
 // Answers one request, by one call of either function. May outlive the connection; then nothing is sent.
-class HttpAnswer {
+class HttpResponder {
  public:
-  virtual ~HttpAnswer() = default;
-  virtual void reply(HttpReply reply) = 0;
+  virtual ~HttpResponder() = default;
+  virtual void reply(HttpResponse reply) = 0;
   // Starts an endless response. `written` is called after each write. `ended` is called once when the stream
   // ends, unless it was ended by close().
-  virtual std::shared_ptr<HttpStream> stream(const HttpReply& head, std::function<void()> written,
+  virtual std::shared_ptr<HttpStream> stream(const HttpResponse& head, std::function<void()> written,
                                              std::function<void()> ended) = 0;
 };
 
 struct HttpLimits {
   // Above this number the oldest connection without a request is closed, or else the oldest stream. While
   // all of them await a response, no further connection is accepted.
-  size_t connections = 12'000;
-  size_t body = size_t{8} * 1024 * 1024;    // of a request
-  std::chrono::milliseconds idle{60'000};   // for the next request to arrive completely
-  std::chrono::milliseconds write{30'000};  // for the peer to read a response or a chunk
-  std::chrono::milliseconds linger{2'000};  // for the peer to close after the last response
+  size_t max_connections = 12'000;
+  size_t max_body_bytes = size_t{8} * 1024 * 1024;  // of a request
+  std::chrono::milliseconds idle_timeout{60'000};   // for the next request to arrive completely
+  std::chrono::milliseconds write_timeout{30'000};  // for the peer to read a response or a chunk
+  std::chrono::milliseconds linger_timeout{2'000};  // for the peer to close after the last response
 };
 
 class HttpServer {
  public:
-  using Handle = std::function<void(const HttpRequest&, const std::shared_ptr<HttpAnswer>&)>;
+  using RequestHandler = std::function<void(const HttpRequest&, const std::shared_ptr<HttpResponder>&)>;
 
   // Starts listening. Throws ListenError.
-  HttpServer(boost::asio::io_context& io, const tcp::endpoint& listen, HttpLimits limits, Handle handle);
+  HttpServer(boost::asio::io_context& io, const tcp::endpoint& listen, HttpLimits limits,
+             RequestHandler handle);
   ~HttpServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   size_t connections() const { return sessions_.size(); }
   // Returns the number of streams closed because the peer did not read a chunk in time.
-  size_t unread() const { return dropped_streams_; }
+  size_t dropped_streams() const { return dropped_streams_; }
 
  private:
   class Session;
@@ -91,7 +92,7 @@
   tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_;
   HttpLimits limits_;
-  Handle handle_;
+  RequestHandler handle_;
   std::list<std::shared_ptr<Session>> sessions_;  // oldest first
   size_t dropped_streams_ = 0;
   // Expires for queued handlers, which may outlive the server.
@@ -105,14 +106,14 @@
   std::string body;
   std::chrono::milliseconds timeout{2000};
   // Called once connected; before that, no byte of the request can have arrived.
-  std::function<void()> connected = nullptr;
+  std::function<void()> on_connected = nullptr;
 };
 
 // Sends a request on a connection of its own. `done` receives nothing if there was no connection or no
 // complete response in time.
 void http_call(boost::asio::io_context& io, const tcp::endpoint& to, HttpCall call,
-               std::function<void(std::optional<HttpReply>)> done);
+               std::function<void(std::optional<HttpResponse>)> done);
 // Sends a request and blocks until it has ended.
-std::optional<HttpReply> http_call(const tcp::endpoint& to, HttpCall call);
+std::optional<HttpResponse> http_call(const tcp::endpoint& to, HttpCall call);
 
 }  // namespace turntally::net
--- a/net/json_splitter.h
+++ b/net/json_splitter.h
@@ -18,10 +18,10 @@
   // that breaks off within a string; neither is valid JSON.
   std::optional<std::string> next();
 
-  bool within() const { return depth_ > 0; }                      // a text has begun and has not ended
-  size_t size() const { return buffer_.size() - returned_end_; }  // bytes not yet returned
+  bool is_within_text() const { return depth_ > 0; }  // a text has begun and has not ended
+  size_t buffered_bytes() const { return buffer_.size() - returned_end_; }  // bytes not yet returned
   // Returns how many bytes other than blanks next() has scanned.
-  uint64_t told() const { return non_blank_bytes_; }
+  uint64_t non_blank_bytes() const { return non_blank_bytes_; }
 
  private:
   std::string take_text(size_t end);
--- a/net/lines.h
+++ b/net/json_stream.h
@@ -17,25 +17,26 @@
 
 namespace turntally::net {
 
-class Lines : public std::enable_shared_from_this<Lines> {
+class JsonStream : public std::enable_shared_from_this<JsonStream> {
  public:
   // Called with each text without its line end, and with an empty text for an empty line between texts.
   // Returns false if the text cannot be read; the stream then ends.
-  using Line = std::function<bool(const std::string&)>;
-  enum class End {
+  using TextHandler = std::function<bool(const std::string&)>;
+  enum class EndReason {
     kFailed,     // no connection, or a status other than 200
     kEnded,      // by the peer
     kSilent,     // open, but without data for too long: events may have been missed
     kUnreadable  // rejected by the handler, or a text that takes too long or too many bytes
   };
-  static const char* name_of(End reason);  // "failed", "ended", "silent", "unreadable"
+  static const char* name_of(EndReason reason);  // "failed", "ended", "silent", "unreadable"
 
   // `read_timeout`: the longest time without data, also before the first text. Blanks within a text do not
   // count as data, and a text must end within kTextTimeoutFactor times that time. No handler is called after
   // close().
-  static constexpr int kMostText = 4;
-  Lines(boost::asio::io_context& io, const tcp::endpoint& address, std::chrono::milliseconds read_timeout,
-        Line on_text, std::function<void(End)> on_ended);
+  static constexpr int kTextTimeoutFactor = 4;
+  JsonStream(boost::asio::io_context& io, const tcp::endpoint& address,
+             std::chrono::milliseconds read_timeout, TextHandler on_text,
+             std::function<void(EndReason)> on_ended);
 
   // Connects and sends the request. Called once. `target`: the path with its query.
   void start(const std::string& target);
@@ -47,12 +48,12 @@
   void read();
   void take_body(bool is_last);
   void restart_read_timer();
-  void end(End reason);
+  void end(EndReason reason);
 
   tcp::endpoint address_;
   std::chrono::milliseconds read_timeout_;
-  Line on_text_;
-  std::function<void(End)> on_ended_;  // empty once the stream is closed
+  TextHandler on_text_;
+  std::function<void(EndReason)> on_ended_;  // empty once the stream is closed
   Stream stream_;
   boost::asio::steady_timer read_timer_;
   boost::beast::http::request<boost::beast::http::empty_body> request_;
--- a/net/linger.cpp
+++ b/net/linger.cpp
@@ -32,8 +32,8 @@
 void linger(Stream& stream, LingerLimits limits, std::function<void()> done) {
   Error ignored;
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-  stream.expires_after(limits.time);
-  std::make_shared<Linger>(stream, limits.bytes, std::move(done))->read();
+  stream.expires_after(limits.max_time);
+  std::make_shared<Linger>(stream, limits.max_bytes, std::move(done))->read();
 }
 
 }  // namespace turntally::net
--- a/net/linger.h
+++ b/net/linger.h
@@ -10,8 +10,8 @@
 namespace turntally::net {
 
 struct LingerLimits {
-  size_t bytes = 0;
-  std::chrono::milliseconds time{0};
+  size_t max_bytes = 0;
+  std::chrono::milliseconds max_time{0};
 };
 
 // Shuts down the sending side and discards what still arrives until the peer closes too or a limit is
--- a/net/log.cpp
+++ b/net/log.cpp
@@ -33,10 +33,10 @@
   for (size_t i = 0; i < kNames.size(); ++i) {
     if (name == kNames[i]) return void(min_level = static_cast<Level>(i));
   }
-  throw BadInput("'" + name + "' is not a log level; use debug, info, warn or error");
+  throw InvalidInput("'" + name + "' is not a log level; use debug, info, warn or error");
 }
 
-bool on(Level level) { return level >= min_level; }
+bool is_enabled(Level level) { return level >= min_level; }
 
 namespace detail {
 
--- a/net/log.h
+++ b/net/log.h
@@ -16,7 +16,7 @@
 
 // Sets the lowest level that is written: "debug", "info", "warn" or "error". Throws InvalidInput otherwise.
 void set_level(const std::string& name);
-bool on(Level level);
+bool is_enabled(Level level);
 
 namespace detail {
 
@@ -38,7 +38,7 @@
 
 template <typename... Fields>
 void event(Level level, std::string_view name, const Fields&... other_fields) {
-  if (!on(level)) return;
+  if (!is_enabled(level)) return;
   std::string line = "event=";
   line += name;
   append_fields(line, other_fields...);
--- a/net/stream.cpp
+++ b/net/stream.cpp
@@ -5,7 +5,7 @@
 
 namespace turntally::net {
 
-bool is_passing_shortage(const boost::system::error_code& error) {
+bool is_transient_shortage(const boost::system::error_code& error) {
   switch (error.value()) {
     case EMFILE:
     case ENFILE:
--- a/net/stream.h
+++ b/net/stream.h
@@ -25,7 +25,7 @@
 
 // Returns whether an error of connect, socket or accept is a temporary condition of this machine rather than
 // of the peer: the same call may succeed a little later.
-bool is_passing_shortage(const boost::system::error_code& error);
+bool is_transient_shortage(const boost::system::error_code& error);
 // Returns whether an error of accept concerns a single connection, or none at all: the next accept may
 // succeed at once.
 bool is_lost_connection(const boost::system::error_code& error);
@@ -200,7 +200,7 @@
       if (std::exchange(is_pausing, false)) {
         if (!error && !state->closed) return attempt(self);
         error = boost::asio::error::operation_aborted;
-      } else if (is_passing_shortage(error) && attempts_made < kMaxConnectAttempts && !state->closed) {
+      } else if (is_transient_shortage(error) && attempts_made < kMaxConnectAttempts && !state->closed) {
         is_pausing = true;
         Error ignored;
         state->socket.close(ignored);
--- a/net/toml.cpp
+++ b/net/toml.cpp
@@ -64,7 +64,7 @@
   }
 };
 
-Section Section::file(const std::string& path) {
+Section Section::from_file(const std::string& path) {
   try {
     auto state = std::make_shared<State>();
     state->root = std::make_shared<toml::table>(toml::parse_file(path));
@@ -73,12 +73,12 @@
     return Section(std::move(state));
   } catch (const toml::parse_error& error) {
     const auto line = error.source().begin.line;
-    throw BadInput(path + (line > 0 ? ":" + std::to_string(line) : "") + ": " +
-                   std::string(error.description()));
+    throw InvalidInput(path + (line > 0 ? ":" + std::to_string(line) : "") + ": " +
+                       std::string(error.description()));
   }
 }
 
-Section Section::text(const std::string& name, const std::string& toml) {
+Section Section::from_text(const std::string& name, const std::string& toml) {
   try {
     auto state = std::make_shared<State>();
     state->root = std::make_shared<toml::table>(toml::parse(toml, name));
@@ -86,16 +86,16 @@
     state->file = name;
     return Section(std::move(state));
   } catch (const toml::parse_error& error) {
-    throw BadInput(name + ":" + std::to_string(error.source().begin.line) + ": " +
-                   std::string(error.description()));
+    throw InvalidInput(name + ":" + std::to_string(error.source().begin.line) + ": " +
+                       std::string(error.description()));
   }
 }
 
-void Section::refuse(const std::string& key, const std::string& what) const {
+void Section::reject(const std::string& key, const std::string& what) const {
   const toml::node* node = state_->table->get(key);
   const auto line = node != nullptr ? node->source().begin.line : state_->table->source().begin.line;
-  throw BadInput(state_->file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + state_->path + key +
-                 ": " + what);
+  throw InvalidInput(state_->file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + state_->path + key +
+                     ": " + what);
 }
 
 bool Section::has(const std::string& key) const { return state_->find(key) != nullptr; }
@@ -104,11 +104,11 @@
                        double high) const {
   const toml::node* node = state_->find(key);
   if (node == nullptr && fallback) return *fallback;
-  if (node == nullptr) refuse(key, "is missing");
+  if (node == nullptr) reject(key, "is missing");
   const auto value = node->value<double>();
-  if (!node->is_number() || !value || !std::isfinite(*value)) refuse(key, "is no number");
+  if (!node->is_number() || !value || !std::isfinite(*value)) reject(key, "is no number");
   if (*value < low || *value > high) {
-    refuse(key,
+    reject(key,
            "is " + format_number(*value) + ", must be " + format_number(low) + " to " + format_number(high));
   }
   return *value;
@@ -116,15 +116,15 @@
 
 int Section::integer(const std::string& key, std::optional<int> fallback, int low, int high) const {
   const double value = number(key, fallback ? std::optional<double>(*fallback) : std::nullopt, low, high);
-  if (value != std::floor(value)) refuse(key, "is not a whole number");
+  if (value != std::floor(value)) reject(key, "is not a whole number");
   return static_cast<int>(value);
 }
 
 bool Section::flag(const std::string& key, std::optional<bool> fallback) const {
   const toml::node* node = state_->find(key);
   if (node == nullptr && fallback) return *fallback;
-  if (node == nullptr) refuse(key, "is missing");
-  if (!node->is_boolean()) refuse(key, "must be true or false");
+  if (node == nullptr) reject(key, "is missing");
+  if (!node->is_boolean()) reject(key, "must be true or false");
   return *node->value<bool>();
 }
 
@@ -132,11 +132,11 @@
                           const std::set<std::string>& allowed) const {
   const toml::node* node = state_->find(key);
   if (node == nullptr && fallback) return *fallback;
-  if (node == nullptr) refuse(key, "is missing");
-  if (!node->is_string()) refuse(key, "is not a string");
+  if (node == nullptr) reject(key, "is missing");
+  if (!node->is_string()) reject(key, "is not a string");
   auto value = *node->value<std::string>();
   if (!allowed.empty() && !allowed.contains(value)) {
-    refuse(key, "is '" + value + "', must be one of: " + join(allowed));
+    reject(key, "is '" + value + "', must be one of: " + join(allowed));
   }
   return value;
 }
@@ -149,9 +149,9 @@
   std::vector<std::string> out;
   for (const toml::node& item : *node->as_array()) {
     const auto value = item.is_string() ? item.value<std::string>() : std::nullopt;
-    if (!value) refuse(key, "is not a list of strings");
+    if (!value) reject(key, "is not a list of strings");
     if (!allowed.empty() && !allowed.contains(*value)) {
-      refuse(key, "contains '" + *value + "', each item must be one of: " + join(allowed));
+      reject(key, "contains '" + *value + "', each item must be one of: " + join(allowed));
     }
     out.push_back(*value);
   }
@@ -165,13 +165,13 @@
     const double value = number(key, {}, low, high);
     return {value, value};
   }
-  if (node == nullptr) refuse(key, "is missing");
+  if (node == nullptr) reject(key, "is missing");
   const toml::array& pair = *node->as_array();
   const auto first = pair.size() == 2 ? pair.get(0)->value<double>() : std::nullopt;
   const auto second = pair.size() == 2 ? pair.get(1)->value<double>() : std::nullopt;
-  if (!first || !second) refuse(key, "must be a number or a list of two numbers");
+  if (!first || !second) reject(key, "must be a number or a list of two numbers");
   if (*first > *second || *first < low || *second > high) {
-    refuse(key, "must be an ascending pair of numbers within " + format_number(low) + " to " +
+    reject(key, "must be an ascending pair of numbers within " + format_number(low) + " to " +
                     format_number(high));
   }
   return {*first, *second};
@@ -180,7 +180,7 @@
 Section Section::table(const std::string& key) const {
   static const toml::table kEmpty;
   const toml::node* node = state_->find(key);
-  if (node != nullptr && !node->is_table()) refuse(key, "is not a table");
+  if (node != nullptr && !node->is_table()) reject(key, "is not a table");
   auto state = std::make_shared<State>(*state_);
   state->table = node != nullptr ? node->as_table() : &kEmpty;
   state->path = state_->path + key + ".";
@@ -192,7 +192,7 @@
   const toml::node* node = state_->find(key);
   if (node == nullptr) return {};
   if (!node->is_array() || !node->as_array()->is_homogeneous(toml::node_type::table)) {
-    refuse(key, "is not a list of tables; write [[" + key + "]]");
+    reject(key, "is not a list of tables; write [[" + key + "]]");
   }
   std::vector<Section> out;
   for (size_t i = 0; i < node->as_array()->size(); ++i) {
@@ -205,12 +205,12 @@
   return out;
 }
 
-void Section::done() const {
+void Section::refuse_unknown_keys() const {
   for (const auto& [key, node] : *state_->table) {
     const std::string name(key.str());
     if (state_->read_keys.contains(name)) continue;
     const std::string near = nearest(name, state_->read_keys);
-    refuse(name, near.empty() ? "is not known" : "is not known; did you mean '" + near + "'?");
+    reject(name, near.empty() ? "is not known" : "is not known; did you mean '" + near + "'?");
   }
 }
 
--- a/net/toml.h
+++ b/net/toml.h
@@ -26,8 +26,8 @@
 // value does not fit. Copies share the same table.
 class Section {
  public:
-  static Section file(const std::string& path);
-  static Section text(const std::string& name, const std::string& toml);
+  static Section from_file(const std::string& path);
+  static Section from_text(const std::string& name, const std::string& toml);
 
   bool has(const std::string& key) const;
   // Bounds are inclusive. Without a fallback the key is required.
@@ -43,9 +43,9 @@
   Section table(const std::string& key) const;  // empty if the key is missing
   std::vector<Section> tables(const std::string& key) const;
 
-  [[noreturn]] void refuse(const std::string& key, const std::string& what) const;
+  [[noreturn]] void reject(const std::string& key, const std::string& what) const;
   // Throws InvalidInput for the first key of the table that was never read.
-  void done() const;
+  void refuse_unknown_keys() const;
 
  private:
   struct State;
--- a/policy/attempt_outcome.cpp
+++ b/policy/attempt_outcome.cpp
@@ -28,16 +28,16 @@
   attempts_.erase(found);
   EndpointState& endpoint = directory_.at(attempt.endpoint);
   Destination& destination = destinations_.get_or_add(endpoint.info.destination);
-  const EndedCall ended{event, attempt, endpoint, *endpoint.route, destination};
-  const bool is_first_outcome = end_call(ended);
-  if (is_first_outcome) learn_from(ended);
+  const EndedAttempt ended{event, attempt, endpoint, *endpoint.route, destination};
+  const bool is_first_outcome = finish_attempt(ended);
+  if (is_first_outcome) record_result(ended);
   if (endpoint.calls == 0 && idle_connections_.connection_tables_full(destination.kind))
     close_idle_connections(endpoint);
   const auto message = messages_.find(event.id);
   if (message != messages_.end()) continue_message(message->second, ended);
 }
 
-void Policy::Impl::block(Route& route, Time until) {
+void Policy::Impl::block_route(Route& route, Time until) {
   route.block_until(until);
   Time& blocked_until = blocked_destinations_[route.key.destination];
   blocked_until = std::max(blocked_until, until);
@@ -45,10 +45,10 @@
 
 // Releases the attempt's slot and updates what every attempt counts for. Returns whether its outcome is the
 // first of its kind in its call.
-bool Policy::Impl::end_call(const EndedCall& ended) {
+bool Policy::Impl::finish_attempt(const EndedAttempt& ended) {
   const AttemptEnded& event = ended.event;
-  const bool is_first_outcome = calls_.is_new_evidence(ended.attempt.call, event.outcome);
-  if (calls_.end_message(ended.attempt.call)) {
+  const bool is_first_outcome = calls_.record_outcome(ended.attempt.call_number, event.outcome);
+  if (calls_.remove_message(ended.attempt.call_number)) {
     --ended.endpoint.calls;
     ended.destination.concurrency_limit.on_call_ended();
   }
@@ -58,12 +58,12 @@
   // All relays that got the same retry-after resume at its end. The random pause spreads them.
   const Time blocked_until = now_ + event.retry_after + settings_.tick;
   if (event.retry_after > 0 && ended.route.blocked_until() < blocked_until)
-    block(ended.route, blocked_until + random_.between(0, kMaxRandomPause));
+    block_route(ended.route, blocked_until + random_.between(0, kMaxRandomPause));
   if (event.outcome == Outcome::kOk) ended.route.served.add_event(now_);
   return is_first_outcome;
 }
 
-void Policy::Impl::learn_from(const EndedCall& ended) {
+void Policy::Impl::record_result(const EndedAttempt& ended) {
   const AttemptEnded& event = ended.event;
   const LoadReport report = read_load_report(event.load_report, settings_);
   const bool is_served = event.outcome == Outcome::kOk;
@@ -72,20 +72,20 @@
     ended.route.rate_limiter.update_headroom(is_served, report.limit_remaining);
   const IdleConnections::CallResult result = {event.outcome, ended.attempt.connection_idle,
                                               ended.endpoint.info.kind, ended.route.outage().in_outage()};
-  idle_connections_.learn(result, ended.endpoint.connections, now_, settings_);
+  idle_connections_.record_call(result, ended.endpoint.connections, now_, settings_);
   const bool is_late = event.latency > destinations_.latency_of(ended.destination).suspicion_age();
   if (is_late && (is_served || event.outcome == Outcome::kTimeout))
     call_timeout_.on_late_call_ended(is_served);
   switch (event.outcome) {
     case Outcome::kOk:
-      return learn_from_success(ended);
+      return record_success(ended);
     case Outcome::kRejected:
-      return learn_from_rejection(ended, report);
+      return record_rejection(ended, report);
     case Outcome::kError:
     case Outcome::kReset:
     case Outcome::kTimeout:
     case Outcome::kConnectFailed:
-      return learn_from_failure(ended);
+      return record_failure(ended);
     case Outcome::kCancelled:
     case Outcome::kNotStarted:
     case Outcome::kMalformedResponse:  // no evidence about the endpoint's health
@@ -93,7 +93,7 @@
   }
 }
 
-void Policy::Impl::learn_from_success(const EndedCall& ended) {
+void Policy::Impl::record_success(const EndedAttempt& ended) {
   const Time latency = ended.event.latency;
   ended.endpoint.latency.add_sample(seconds(latency));
   destinations_.add_kind_latency_sample(ended.destination.kind, latency);
@@ -103,7 +103,7 @@
   ended.route.on_served(ended.attempt.sent, context(), *actions_);
 }
 
-void Policy::Impl::learn_from_rejection(const EndedCall& ended, const LoadReport& report) {
+void Policy::Impl::record_rejection(const EndedAttempt& ended, const LoadReport& report) {
   Route& route = ended.route;
   const Time retry_after = ended.event.retry_after;
   // An exhausted limit explains the rejection, and determines the send rate.
@@ -116,7 +116,7 @@
   route.on_failure({ended.attempt.sent, false, retry_after}, context(), *actions_);
 }
 
-void Policy::Impl::learn_from_failure(const EndedCall& ended) {
+void Policy::Impl::record_failure(const EndedAttempt& ended) {
   const AttemptEnded& event = ended.event;
   // Lost answers do not mean that the destination is slow, so a timeout is a latency sample only if late
   // calls are usually served.
@@ -125,26 +125,26 @@
     destinations_.add_latency_sample(ended.destination, event.latency);
   if (event.outcome != Outcome::kError) {
     ended.endpoint.ejection.on_failure(now_);
-    ended.endpoint.connections.open = 0;
+    ended.endpoint.connections.assumed_open = 0;
   }
   directory_.observe(ended.route);
   ended.route.on_failure({ended.attempt.sent, true, 0}, context(), *actions_);
 }
 
-void Policy::Impl::continue_message(Message& message, const EndedCall& ended) {
+void Policy::Impl::continue_message(Message& message, const EndedAttempt& ended) {
   const AttemptEnded& event = ended.event;
   message.in_flight = false;
-  if (message.terms.in_order && has_unknown_outcome(event.outcome)) {
+  if (message.class_settings.in_order && has_unknown_outcome(event.outcome)) {
     message_ordering_.hold_after_call(message.arrival.ordering_key, now_ + settings_.ordering_pause,
-                                      message.id(), ended.attempt.call);
+                                      message.id(), ended.attempt.call_number);
   }
-  if (event.final || message.withdrawn) return finish(message.id());
+  if (event.final || message.withdrawn) return finish_message(message.id());
   prepare_next_attempt(message, ended);
   waiting_.add(message, now_, settings_.tick);
   if (message.is_ordered()) message_ordering_.on_changed(message.arrival.ordering_key);
 }
 
-void Policy::Impl::prepare_next_attempt(Message& message, const EndedCall& ended) {
+void Policy::Impl::prepare_next_attempt(Message& message, const EndedAttempt& ended) {
   const AttemptEnded& event = ended.event;
   const bool not_started = event.outcome == Outcome::kNotStarted;
   if (not_started && event.call_started) return;
--- a/policy/call_timeout.cpp
+++ b/policy/call_timeout.cpp
@@ -12,7 +12,7 @@
 constexpr double kMinTimeoutSeconds = 1;
 
 double timeout_factor(const Message& message) {
-  return message.terms.idempotency == Idempotency::kNonIdempotent ? kNonIdempotentFactor : 1;
+  return message.class_settings.idempotency == Idempotency::kNonIdempotent ? kNonIdempotentFactor : 1;
 }
 
 }  // namespace
--- a/policy/calls_in_flight.cpp
+++ b/policy/calls_in_flight.cpp
@@ -14,25 +14,25 @@
 
 void CallsInFlight::add_message(uint64_t call) { ++calls_.at(call).messages; }
 
-uint64_t CallsInFlight::number_of_resumed(uint64_t call_of_previous_process) {
+uint64_t CallsInFlight::resumed_call_number(uint64_t call_of_previous_process) {
   return kPreviousProcessBit | call_of_previous_process;
 }
 
 bool CallsInFlight::resume(uint64_t call_of_previous_process) {
-  const auto [call, is_new] = calls_.try_emplace(number_of_resumed(call_of_previous_process));
+  const auto [call, is_new] = calls_.try_emplace(resumed_call_number(call_of_previous_process));
   ++call->second.messages;
   return is_new;
 }
 
-bool CallsInFlight::is_new_evidence(uint64_t call, Outcome outcome) {
-  unsigned& outcome_bits = calls_.at(call).seen_outcomes;
+bool CallsInFlight::record_outcome(uint64_t call, Outcome outcome) {
+  unsigned& outcome_bits = calls_.at(call).outcome_bits;
   const unsigned bit = 1U << static_cast<unsigned>(outcome);
   const bool is_new = (outcome_bits & bit) == 0;
   outcome_bits |= bit;
   return is_new;
 }
 
-bool CallsInFlight::end_message(uint64_t call) {
+bool CallsInFlight::remove_message(uint64_t call) {
   const auto found = calls_.find(call);
   if (--found->second.messages > 0) return false;
   calls_.erase(found);
--- a/policy/calls_in_flight.h
+++ b/policy/calls_in_flight.h
@@ -23,7 +23,7 @@
 struct Attempt {
   Endpoint endpoint;
   Time sent = 0;
-  uint64_t call = 0;
+  uint64_t call_number = 0;
   bool cancelled = false;
   bool is_trial = false;     // tests whether an outage is over
   Time connection_idle = 0;  // idle time of its connection before it was sent; 0: new or in use
@@ -37,13 +37,13 @@
 
   // Adds a message to a call that the previous process made. Returns whether the call is new here.
   bool resume(uint64_t call_of_previous_process);
-  static uint64_t number_of_resumed(uint64_t call_of_previous_process);
+  static uint64_t resumed_call_number(uint64_t call_of_previous_process);
 
   // Records an outcome of one of the call's messages, and returns whether the call had no such outcome
   // before. The messages of a batch usually end alike, so equal outcomes count as a single piece of evidence.
-  bool is_new_evidence(uint64_t call, Outcome outcome);
+  bool record_outcome(uint64_t call, Outcome outcome);
   // Removes one message from the call. Returns whether it was the last, which removes the call.
-  bool end_message(uint64_t call);
+  bool remove_message(uint64_t call);
 
   bool contains(uint64_t call) const { return calls_.contains(call); }
   bool is_empty(uint64_t call) const { return calls_.at(call).messages == 0; }
@@ -51,8 +51,8 @@
 
  private:
   struct Call {
-    int messages = 0;            // without an outcome
-    unsigned seen_outcomes = 0;  // one bit for each Outcome
+    int messages = 0;           // without an outcome
+    unsigned outcome_bits = 0;  // one bit for each Outcome
   };
 
   uint64_t last_call_ = 0;
--- a/policy/dispatch.cpp
+++ b/policy/dispatch.cpp
@@ -53,13 +53,13 @@
 
 void Policy::Impl::dispatch() {
   update_send_queues();
-  DestinationTurns schedules = destination_turns();
+  DestinationSchedules schedules = destination_schedules();
   if (schedules.empty()) return;
   if (calls_.size() >= settings_.max_concurrent_calls) return cancel_late_calls();
   // The first pass keeps each destination within its share of the slots. The second gives the slots that are
   // left to any destination.
   for (const bool within_share : {true, false}) {
-    send_in_order(schedules, within_share);
+    send_by_priority(schedules, within_share);
     if (calls_.size() >= settings_.max_concurrent_calls) return;
   }
 }
@@ -72,21 +72,21 @@
 }
 
 void Policy::Impl::update_next_in_order(uint64_t ordering_key) {
-  const auto id = message_ordering_.first(ordering_key);
+  const auto id = message_ordering_.first_message(ordering_key);
   if (!id) return;
   const Message& message = messages_.at(*id);
   const bool is_listed = directory_.find_destination(message.arrival.destination) != nullptr;
   if (!is_listed) message_ordering_.on_changed(ordering_key);  // checked again in the next step
   const bool may_attempt = is_listed && !message.in_flight && message.not_before <= now_;
-  const auto decision =
-      may_attempt ? message_ordering_.turn_of_first(ordering_key, now_, calls_) : MessageOrdering::Turn{};
-  if (!decision.is_next) wake_at(decision.check_again_at);
-  waiting_.set_next_in_order(ordering_key, decision.is_next ? &message : nullptr);
+  const auto decision = may_attempt ? message_ordering_.decide_first(ordering_key, now_, calls_)
+                                    : MessageOrdering::SendDecision{};
+  if (!decision.may_send) wake_at(decision.check_again_at);
+  waiting_.set_next_in_order(ordering_key, decision.may_send ? &message : nullptr);
 }
 
 // Returns the listed destinations that have messages which may be sent.
-Policy::Impl::DestinationTurns Policy::Impl::destination_turns() {
-  DestinationTurns schedules;
+Policy::Impl::DestinationSchedules Policy::Impl::destination_schedules() {
+  DestinationSchedules schedules;
   std::erase_if(waiting_.send_queues(), [](const auto& entry) { return entry.second.empty(); });
   for (auto& [number, queue] : waiting_.send_queues()) {
     if (queue.destination == nullptr) {
@@ -97,7 +97,7 @@
     const double latency = destinations_.latency_of(*queue.destination).mean_seconds();
     schedules.push_back({number, queue, *queue.destination, latency,
                          SendOrder(queue, now_, latency, settings_.late_weight_halves), std::nullopt, false});
-    schedules.back().is_over_share = uses_its_share(schedules.back());
+    schedules.back().is_over_share = has_reached_share(schedules.back());
   }
   return schedules;
 }
@@ -105,9 +105,9 @@
 // Sends messages of all destinations by priority until all slots are taken or no destination admits any more.
 // With `within_share`, a destination that reaches its share of the slots is marked as over its share and left
 // for the second pass; without it, only the destinations marked so are considered.
-void Policy::Impl::send_in_order(DestinationTurns& schedules, bool within_share) {
-  ScheduleHeap<DestinationTurn> heap;
-  for (DestinationTurn& schedule : schedules) {
+void Policy::Impl::send_by_priority(DestinationSchedules& schedules, bool within_share) {
+  ScheduleHeap<DestinationSchedule> heap;
+  for (DestinationSchedule& schedule : schedules) {
     if (schedule.is_over_share != within_share) heap.push(schedule);
   }
   while (!heap.empty()) {
@@ -115,24 +115,24 @@
     const bool is_sent = try_send(*schedule, candidate);
     if (is_sent && within_share) schedule->last_within_share = candidate;
     if (is_sent && calls_.size() >= settings_.max_concurrent_calls) {
-      if (leaves_any_behind(schedules, candidate, within_share)) cancel_late_calls();
+      if (has_candidates_left(schedules, candidate, within_share)) cancel_late_calls();
       return;
     }
-    if (is_sent && within_share && uses_its_share(*schedule)) schedule->is_over_share = true;
+    if (is_sent && within_share && has_reached_share(*schedule)) schedule->is_over_share = true;
     if (schedule->is_over_share != within_share) heap.push(*schedule);
   }
 }
 
-bool Policy::Impl::uses_its_share(const DestinationTurn& schedule) const {
+bool Policy::Impl::has_reached_share(const DestinationSchedule& schedule) const {
   const double latency = schedule.destination.latency.mean_seconds();
   return schedule.destination.concurrency_limit.is_reached(settings_.max_concurrent_calls, latency);
 }
 
 // Whether candidates had not been considered yet when the last slot went to `sent`.
-bool Policy::Impl::leaves_any_behind(const DestinationTurns& schedules, const SendCandidate& sent,
-                                     bool within_share) const {
+bool Policy::Impl::has_candidates_left(const DestinationSchedules& schedules, const SendCandidate& sent,
+                                       bool within_share) const {
   if (!may_cancel_late_calls()) return false;
-  return std::any_of(schedules.begin(), schedules.end(), [&](const DestinationTurn& schedule) {
+  return std::any_of(schedules.begin(), schedules.end(), [&](const DestinationSchedule& schedule) {
     // The second pass considers what follows the last message sent within the destination's share.
     const bool has_remaining = !schedule.last_within_share
                                    ? !schedule.queue.empty()
@@ -146,46 +146,46 @@
 
 // Sends the candidate if possible, and returns whether it was sent. If not, candidates that would be refused
 // for the same reason are dropped.
-bool Policy::Impl::try_send(DestinationTurn& schedule, const SendCandidate& candidate) {
+bool Policy::Impl::try_send(DestinationSchedule& schedule, const SendCandidate& candidate) {
   Message& message = messages_.at(candidate.id);
   schedule.order.next();
-  const SendOrder::Class subgroup = schedule.order.class_of_next();
-  const auto has_same_obstacle = [&](const SendOrder::Class& other) {
+  const SendOrder::Subgroup subgroup = schedule.order.subgroup_of_next();
+  const auto has_same_obstacle = [&](const SendOrder::Subgroup& other) {
     return other.group.required_zone == subgroup.group.required_zone &&
            other.is_late_for_limit == subgroup.is_late_for_limit;
   };
-  schedule.order.pass();
+  schedule.order.advance();
   if (message.is_retry && !schedule.destination.retry_budget.can_retry()) {
-    schedule.order.drop_if([](const SendOrder::Class& other) { return other.group.is_retry; });
+    schedule.order.drop_if([](const SendOrder::Subgroup& other) { return other.group.is_retry; });
     return false;
   }
   if (shutdown_at_ - now_ < destinations_.latency_of(schedule.destination).suspicion_age()) {
-    schedule.order.drop_if([](const SendOrder::Class&) { return true; });
+    schedule.order.drop_if([](const SendOrder::Subgroup&) { return true; });
     return false;
   }
   const StepContext step = context();
   const EndpointSelector selector(destinations_, idle_connections_, step);
-  const Selection selection = selector.select(directory_.of_destination(schedule.number), message);
+  const Selection selection = selector.select(directory_.endpoints_of(schedule.number), message);
   wake_at(selection.check_again_at);
   if (selection.endpoint == nullptr) {
     schedule.order.drop_if(has_same_obstacle);
     return false;
   }
   EndpointState& endpoint = *selection.endpoint;
-  const TrialCalls::Decision decision = may_send_trial(endpoint);
+  const TrialCalls::Decision decision = decide_trial(endpoint);
   // With independent endpoints, the next message may take another route.
   const bool has_one_route = !endpoint.route->key.is_one_endpoint();
   if (decision == TrialCalls::Decision::kWait && has_one_route) schedule.order.drop_if(has_same_obstacle);
   if (decision != TrialCalls::Decision::kSend) return false;
   const StartedCall call = start_call(schedule.destination, endpoint);
   send(message, schedule.destination, endpoint, call);
-  if (!endpoint.route->outage().needs_trial()) add_batch(schedule, endpoint, call);
+  if (!endpoint.route->outage().needs_trial()) fill_batch(schedule, endpoint, call);
   return true;
 }
 
-TrialCalls::Decision Policy::Impl::may_send_trial(EndpointState& endpoint) {
+TrialCalls::Decision Policy::Impl::decide_trial(EndpointState& endpoint) {
   Route& route = *endpoint.route;
-  const auto decision = route.trial_calls.may_send_trial(route.outage(), settings_.health_checks_allowed);
+  const auto decision = route.trial_calls.decide_trial(route.outage(), settings_.health_checks_allowed);
   if (decision == TrialCalls::Decision::kSendHealthCheck) {
     actions_->push_back(SendHealthCheck{endpoint.info.endpoint});
     route.trial_calls.on_health_check_sent();
@@ -202,8 +202,8 @@
   EndpointConnections& connections = endpoint.connections;
   StartedCall call;
   if (selector.needs_connection(endpoint)) {
-    if (endpoint.calls == 0 && connections.open > 0) close_idle_connections(endpoint);
-    connections.open = endpoint.calls / std::max(1, settings_.streams_per_connection) + 1;
+    if (endpoint.calls == 0 && connections.assumed_open > 0) close_idle_connections(endpoint);
+    connections.assumed_open = endpoint.calls / std::max(1, settings_.streams_per_connection) + 1;
   } else if (endpoint.calls == 0) {
     call.connection_idle = now_ - connections.last_used;
   }
@@ -217,8 +217,8 @@
 
 // Adds further messages to a call up to the batch size of its endpoint. Together they use one slot, and count
 // as one call for the rate limit.
-void Policy::Impl::add_batch(const DestinationTurn& schedule, EndpointState& endpoint,
-                             const StartedCall& call) {
+void Policy::Impl::fill_batch(const DestinationSchedule& schedule, EndpointState& endpoint,
+                              const StartedCall& call) {
   int remaining = max_batch_size(settings_, endpoint.info.kind) - 1;
   if (remaining <= 0) return;
   const StepContext step = context();
@@ -229,7 +229,7 @@
   const double endpoint_rate = endpoint_slow_start ? endpoint.slow_start.slow_start_rate(step) : 0;
   const Time window = settings_.overload_window;
   SendOrder order(schedule.queue, now_, schedule.latency_seconds, settings_.late_weight_halves);
-  order.drop_if([&](const SendOrder::Class& subgroup) {
+  order.drop_if([&](const SendOrder::Subgroup& subgroup) {
     const int zone = subgroup.group.required_zone;
     return zone != kAnyZone && zone != endpoint.info.zone;
   });
@@ -238,13 +238,13 @@
     if (endpoint_slow_start &&
         !slow_start_admits_batched(endpoint.slow_start.tokens(), endpoint_rate, window))
       return;
-    order.pass();
+    order.advance();
     // The first pass has already considered all messages up to the last one sent within the share.
     if (schedule.is_over_share && schedule.last_within_share && !(*schedule.last_within_share < *candidate))
       continue;
     Message& message = messages_.at(candidate->id);
     if (message.is_retry && !schedule.destination.retry_budget.can_retry()) {
-      order.drop_if([](const SendOrder::Class& subgroup) { return subgroup.group.is_retry; });
+      order.drop_if([](const SendOrder::Subgroup& subgroup) { return subgroup.group.is_retry; });
       continue;
     }
     send(message, schedule.destination, endpoint, call);
@@ -295,7 +295,7 @@
 
 void Policy::Impl::close_idle_connections(EndpointState& endpoint) {
   actions_->push_back(CloseIdleConnections{endpoint.info.endpoint});
-  endpoint.connections.open = 0;
+  endpoint.connections.assumed_open = 0;
 }
 
 }  // namespace turntally::policy
--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -27,10 +27,10 @@
 
   EndpointState* find(const Endpoint& endpoint);
   EndpointState& at(const Endpoint& endpoint) { return endpoints_.at(endpoint); }
-  const std::map<Endpoint, EndpointState>& all() const { return endpoints_; }
+  const std::map<Endpoint, EndpointState>& endpoints() const { return endpoints_; }
 
   // Returns the endpoints of a destination. A destination that is unknown is added without endpoints.
-  DestinationEndpoints& of_destination(int destination) { return by_destination_[destination]; }
+  DestinationEndpoints& endpoints_of(int destination) { return by_destination_[destination]; }
   const DestinationEndpoints* find_destination(int destination) const;
 
   Route& get_or_add_route(const RouteKey& key);
--- a/policy/endpoint_selector.cpp
+++ b/policy/endpoint_selector.cpp
@@ -37,7 +37,7 @@
 
 bool EndpointSelector::needs_connection(const EndpointState& endpoint) const {
   const EndpointConnections& connections = endpoint.connections;
-  if (endpoint.calls >= connections.open * context_.settings.streams_per_connection) return true;
+  if (endpoint.calls >= connections.assumed_open * context_.settings.streams_per_connection) return true;
   return context_.now - connections.last_used >
          idle_connections_.max_idle_age(context_.now, context_.settings);
 }
--- a/policy/final_answers.cpp
+++ b/policy/final_answers.cpp
@@ -15,12 +15,12 @@
 }  // namespace
 
 void Policy::Impl::finish_undeliverable() {
-  for (const uint64_t id : undeliverable()) {
+  for (const uint64_t id : undeliverable_messages()) {
     const Message& message = messages_.at(id);
-    if (safe_to_reject(message)) {
-      finish(id, Reject{id, client_retry_after(message)});
+    if (is_safe_to_reject(message)) {
+      finish_message(id, Reject{id, client_retry_after(message)});
     } else {
-      finish(id, Fail{id});
+      finish_message(id, Fail{id});
     }
   }
   wake_at(waiting_.next_last_start());
@@ -28,13 +28,13 @@
 
 // Returns the ids of waiting messages that cannot be delivered any more, in ascending order: they have no
 // attempts or no time left, or retry-after times block every route until their last start.
-std::vector<uint64_t> Policy::Impl::undeliverable() {
+std::vector<uint64_t> Policy::Impl::undeliverable_messages() {
   std::vector<uint64_t> ids = waiting_.expired(now_);
   std::erase_if(blocked_destinations_, [this](const auto& entry) { return entry.second <= now_; });
   for (const auto& [destination, until] : blocked_destinations_) {
-    const Time open_at = opens_at(destination);
+    const Time open_at = unblocked_at(destination);
     if (open_at == kNever || open_at <= now_) continue;
-    const std::vector<uint64_t> blocked = waiting_.last_start_until(destination, open_at);
+    const std::vector<uint64_t> blocked = waiting_.must_start_by(destination, open_at);
     ids.insert(ids.end(), blocked.begin(), blocked.end());
   }
   std::sort(ids.begin(), ids.end());
@@ -47,14 +47,14 @@
   if (excess == 0) return;
   std::vector<SheddableMessage> candidates;
   for (const auto& [id, message] : messages_) {
-    if (message.in_flight || !safe_to_reject(message)) continue;
+    if (message.in_flight || !is_safe_to_reject(message)) continue;
     candidates.push_back({weight_at(message, now_, settings_.late_weight_halves), id});
   }
   for (const uint64_t id : messages_to_shed(std::move(candidates), excess))
-    finish(id, Reject{id, client_retry_after(messages_.at(id))});
+    finish_message(id, Reject{id, client_retry_after(messages_.at(id))});
 }
 
-void Policy::Impl::finish(uint64_t id, const std::optional<Action>& answer) {
+void Policy::Impl::finish_message(uint64_t id, const std::optional<Action>& answer) {
   const auto found = messages_.find(id);
   if (found == messages_.end()) return;
   const Message& message = found->second;
@@ -71,7 +71,7 @@
 
 // Returns when the first of the destination's ready routes is no longer blocked by a retry-after; kNever: no
 // endpoint is ready.
-Time Policy::Impl::opens_at(int destination) const {
+Time Policy::Impl::unblocked_at(int destination) const {
   const auto* endpoints = directory_.find_destination(destination);
   if (endpoints == nullptr) return kNever;
   Time earliest = kNever;
@@ -85,7 +85,7 @@
 // random part keeps clients that were rejected together from retrying together.
 Time Policy::Impl::client_retry_after(const Message& message) {
   Time shortest_wait = kMaxClientRetryAfter;
-  for (const auto& [address, endpoint] : directory_.of_destination(message.arrival.destination)) {
+  for (const auto& [address, endpoint] : directory_.endpoints_of(message.arrival.destination)) {
     const Route& route = *endpoint->route;
     if (!endpoint->is_ready() || route.outage().needs_trial()) continue;
     const Time wait = std::max(route.blocked_until() - now_, route.rate_limiter.send_interval());
--- a/policy/idempotency.h
+++ b/policy/idempotency.h
@@ -7,7 +7,7 @@
 namespace turntally::policy {
 
 // Whether a retry by the client is harmless, so that the message may end with a Reject.
-bool safe_to_reject(const Message& message);
+bool is_safe_to_reject(const Message& message);
 
 // Returns the time from which no further attempt is allowed: kAlreadyPast, kNever or a point in time. `tick`
 // is in microseconds.
--- a/policy/idle_connections.cpp
+++ b/policy/idle_connections.cpp
@@ -27,8 +27,8 @@
   return connect_failure_share_[kind] > kFullTableShare;
 }
 
-void IdleConnections::learn(const CallResult& result, EndpointConnections& connections, Time now,
-                            const Settings& settings) {
+void IdleConnections::record_call(const CallResult& result, EndpointConnections& connections, Time now,
+                                  const Settings& settings) {
   if (result.outcome == Outcome::kConnectFailed) {
     if (connections.consecutive_connect_failures++ == 0) connections.connect_failures_since = now;
     connections.idle_before_lost_call = 0;
@@ -36,12 +36,12 @@
     if (result.connection_idle == 0) fresh_connection_loss_ += kSampleWeight * (1 - fresh_connection_loss_);
     connections.idle_before_lost_call = result.connection_idle;
   } else if (result.outcome == Outcome::kOk) {
-    learn_from_success(result, connections, now, settings);
+    record_success(result, connections, now, settings);
   }
 }
 
-void IdleConnections::learn_from_success(const CallResult& result, EndpointConnections& connections, Time now,
-                                         const Settings& settings) {
+void IdleConnections::record_success(const CallResult& result, EndpointConnections& connections, Time now,
+                                     const Settings& settings) {
   double& failure_share = connect_failure_share_[result.kind];
   const int failures = std::exchange(connections.consecutive_connect_failures, 0);
   const bool was_up = !result.in_outage && now - connections.connect_failures_since <= kServedSoonAfter;
--- a/policy/idle_connections.h
+++ b/policy/idle_connections.h
@@ -15,7 +15,7 @@
 
 // The connections of one endpoint.
 struct EndpointConnections {
-  int open = 0;  // number of connections that are assumed to be open
+  int assumed_open = 0;  // number of connections that are assumed to be open
   Time last_used = 0;
   int consecutive_connect_failures = 0;
   Time connect_failures_since = 0;
@@ -33,15 +33,16 @@
 
   void start(Time now) { max_idle_age_set_at_ = now; }
   Time max_idle_age(Time now, const Settings& settings) const;
-  void learn(const CallResult& result, EndpointConnections& connections, Time now, const Settings& settings);
+  void record_call(const CallResult& result, EndpointConnections& connections, Time now,
+                   const Settings& settings);
 
   // Whether so many calls to endpoints of the kind get no connection that idle connections must be filling
   // the endpoints' connection tables.
   bool connection_tables_full(int kind);
 
  private:
-  void learn_from_success(const CallResult& result, EndpointConnections& connections, Time now,
-                          const Settings& settings);
+  void record_success(const CallResult& result, EndpointConnections& connections, Time now,
+                      const Settings& settings);
 
   double idle_connection_loss_ = 0;   // share of calls on idle connections that were lost
   double fresh_connection_loss_ = 0;  // share of calls on new connections that were lost
--- a/policy/message.h
+++ b/policy/message.h
@@ -7,7 +7,7 @@
 
 struct Message {
   MessageArrived arrival;  // `attempts` and the fields about attempts that may have run are kept up to date
-  ClassSettings terms;     // of its class when the message arrived
+  ClassSettings class_settings;  // of its class when the message arrived
   int max_attempts = 0;
   Time full_weight_until = 0;
   double full_weight = 0;
@@ -18,7 +18,7 @@
   Time not_before = 0;  // earliest start of the next attempt
 
   uint64_t id() const { return arrival.id; }
-  bool is_ordered() const { return terms.in_order && arrival.ordering_key != 0; }
+  bool is_ordered() const { return class_settings.in_order && arrival.ordering_key != 0; }
 };
 
 // Returns the last time at which an attempt may start, two ticks before the deadline.
--- a/policy/message_ordering.cpp
+++ b/policy/message_ordering.cpp
@@ -36,18 +36,18 @@
   });
 }
 
-std::optional<uint64_t> MessageOrdering::first(uint64_t key) const {
+std::optional<uint64_t> MessageOrdering::first_message(uint64_t key) const {
   const auto queue = ordering_queues_.find(key);
   return queue == ordering_queues_.end() ? std::nullopt : std::optional(queue->second.front());
 }
 
-MessageOrdering::Turn MessageOrdering::turn_of_first(uint64_t key, Time now,
-                                                     const CallsInFlight& calls) const {
+MessageOrdering::SendDecision MessageOrdering::decide_first(uint64_t key, Time now,
+                                                            const CallsInFlight& calls) const {
   const auto found = ordering_holds_.find(key);
   if (found == ordering_holds_.end()) return {true};
   const Hold& hold = found->second;
   const bool is_over = hold.until <= now && !calls.contains(hold.call);
-  if (is_over || hold.after_message == first(key)) return {true};
+  if (is_over || hold.after_message == first_message(key)) return {true};
   return {false, hold.until};
 }
 
--- a/policy/message_ordering.h
+++ b/policy/message_ordering.h
@@ -20,8 +20,8 @@
 class MessageOrdering {
  public:
   // Whether the first message of a key may be sent.
-  struct Turn {
-    bool is_next = false;
+  struct SendDecision {
+    bool may_send = false;
     Time check_again_at = kNever;  // when a hold ends
   };
 
@@ -35,8 +35,8 @@
   void release_expired(Time now, const CallsInFlight& calls);
 
   // Returns the key's first message, or nothing if it has none.
-  std::optional<uint64_t> first(uint64_t key) const;
-  Turn turn_of_first(uint64_t key, Time now, const CallsInFlight& calls) const;
+  std::optional<uint64_t> first_message(uint64_t key) const;
+  SendDecision decide_first(uint64_t key, Time now, const CallsInFlight& calls) const;
 
   // Records another change that may affect the key's first message.
   void on_changed(uint64_t key) { changed_keys_.insert(key); }
--- a/policy/message_priority.cpp
+++ b/policy/message_priority.cpp
@@ -13,13 +13,14 @@
 
 }  // namespace
 
-WeightTerms weight_terms(const Message& message) {
-  const ClassSettings& class_settings = message.terms;
+WeightParameters weight_parameters(const Message& message) {
+  const ClassSettings& class_settings = message.class_settings;
   return {message.full_weight, class_settings.late_weight_share, class_settings.latency_objective,
           message.arrival.deadline - message.full_weight_until};
 }
 
-double weight_at(const WeightTerms& parameters, Time full_weight_until, Time at, bool late_weight_halves) {
+double weight_at(const WeightParameters& parameters, Time full_weight_until, Time at,
+                 bool late_weight_halves) {
   if (at <= full_weight_until) return parameters.full_weight;
   if (at >= full_weight_until + parameters.late_span) return 0;
   const double late = seconds(at - full_weight_until);
@@ -33,7 +34,7 @@
 }
 
 double weight_at(const Message& message, Time at, bool late_weight_halves) {
-  return weight_at(weight_terms(message), message.full_weight_until, at, late_weight_halves);
+  return weight_at(weight_parameters(message), message.full_weight_until, at, late_weight_halves);
 }
 
 double negated_weight_per_slot_second(double weight, double latency_seconds) {
--- a/policy/outage_detector.cpp
+++ b/policy/outage_detector.cpp
@@ -22,7 +22,7 @@
   if (!state_.in_outage()) return Change::kNone;
   if (suspected_ && sent <= state_.outage_since) {
     state_.outage_since = 0;
-    return Change::kWasOnlySlow;
+    return Change::kSuspicionCleared;
   }
   if (state_.recovering_since != 0 || sent <= state_.outage_since) return Change::kNone;
   state_.recovering_since = now;
@@ -41,7 +41,7 @@
   const bool sent_in_recovery = state_.recovering_since != 0 && sent > state_.recovering_since;
   if (!sent_in_recovery || !definite || consecutive_failures_ < kMinFailuresInRecovery) return Change::kNone;
   state_.recovering_since = 0;
-  return Change::kFailsAgain;
+  return Change::kRecoveryFailed;
 }
 
 OutageDetector::Change OutageDetector::end_if_warmed_up(Time now, Time slow_start_duration) {
--- a/policy/outage_detector.h
+++ b/policy/outage_detector.h
@@ -38,7 +38,7 @@
     bool suspicion_only = false;  // the only evidence is overdue calls
   };
 
-  enum class Change { kNone, kWasOnlySlow, kRecovering, kFailsAgain, kWarmedUp };
+  enum class Change { kNone, kSuspicionCleared, kRecovering, kRecoveryFailed, kWarmedUp };
 
   Change on_served(Time sent, Time now);
   // `definite` is true for a failure and false for a rejection.
@@ -54,7 +54,7 @@
   std::optional<Evidence> detect(const Observation& observation, Time now) const;
 
   void begin_outage(double own_rate, bool suspicion_only, Time now);
-  void recover_from(Time at) { state_.recovering_since = at; }
+  void set_recovery_start(Time at) { state_.recovering_since = at; }
   void restore(const OutageState& state) { state_ = state; }
 
   const OutageState& state() const { return state_; }
--- a/policy/policy.cpp
+++ b/policy/policy.cpp
@@ -45,7 +45,7 @@
 
 void Policy::Impl::apply_settings(Settings settings) {
   if (settings.classes.empty()) throw std::invalid_argument("settings hold no class");
-  if (settings.tenants != settings_.tenants) tenant_quota_.forget_all();
+  if (settings.tenants != settings_.tenants) tenant_quota_.reset();
   settings_ = std::move(settings);
   longest_lifetime_ = kSecond;
   for (const ClassSettings& class_settings : settings_.classes)
@@ -56,10 +56,10 @@
   apply_settings(*event.settings);
   for (auto& [id, message] : messages_) {
     int& zone = message.arrival.possibly_run_zone;
-    zone = renumbered_zone(event.zones, zone);
+    zone = renumbered_zone(event.new_zone_indexes, zone);
   }
   requeue_waiting_messages();
-  for (const auto& [address, endpoint] : directory_.all()) update_endpoint(EndpointInfo(endpoint.info));
+  for (const auto& [address, endpoint] : directory_.endpoints()) update_endpoint(EndpointInfo(endpoint.info));
 }
 
 // Rebuilds the queues of waiting messages, whose order depends on the settings.
@@ -90,9 +90,9 @@
   destination.retry_budget.set_cap_for_batch(max_batch_size(settings_, info.kind));
   if (is_new) {
     destination.retry_budget.fill();
-    destination.persisted = {info.destination, destination.retry_budget.persisted_parts()};
+    destination.persisted = {info.destination, destination.retry_budget.persisted_token_tenths()};
   }
-  const bool weight_is_limit = settings_.weights != Weights::kNone && info.weight > 0;
+  const bool weight_is_limit = settings_.weight_meaning != WeightMeaning::kNone && info.weight > 0;
   if (weight_is_limit && endpoint.is_ready())
     endpoint.route->rate_limiter.on_listed_limit(info.weight, context());
 }
@@ -120,12 +120,12 @@
 
 void Policy::Impl::handle(const DestinationState& event) {
   Destination& destination = destinations_.get_or_add(event.destination);
-  destination.retry_budget.restore(event.retry_tokens);
+  destination.retry_budget.restore(event.retry_token_tenths);
   destination.persisted = event;
-  if (event.outage_since == 0 && event.wait_until == 0) return;
+  if (event.outage_since == 0 && event.blocked_until == 0) return;
   Route& route = directory_.get_or_add_route({event.destination, Endpoint{}});
   route.restore(event, now_);
-  block(route, event.wait_until);
+  block_route(route, event.blocked_until);
   directory_.observe(route);
 }
 
@@ -163,7 +163,7 @@
     DestinationState state;
     if (const Route* route = directory_.find_route({number, Endpoint{}})) route->persist_to(state, now_);
     state.destination = number;
-    state.retry_tokens = destination.retry_budget.persisted_parts();
+    state.retry_token_tenths = destination.retry_budget.persisted_token_tenths();
     if (state == destination.persisted) continue;
     destination.persisted = state;
     actions_->push_back(PersistDestinationState{state});
@@ -177,8 +177,8 @@
     throw std::invalid_argument("message " + std::to_string(event.id) + " came twice");
   Message& message = messages_[event.id];
   message.arrival = event;
-  message.terms = settings_.classes[event.message_class];
-  const ClassSettings& class_settings = message.terms;
+  message.class_settings = settings_.classes[event.message_class];
+  const ClassSettings& class_settings = message.class_settings;
   message.max_attempts = event.max_attempts > 0 ? event.max_attempts : settings_.max_attempts;
   message.full_weight_until = event.deadline - class_settings.max_lifetime + class_settings.latency_objective;
   message.full_weight =
@@ -197,14 +197,14 @@
 void Policy::Impl::resume_call(Message& message) {
   const MessageArrived::InFlightCall& in_flight = *message.arrival.in_flight;
   EndpointState& endpoint = directory_.at(in_flight.endpoint);
-  if (calls_.resume(in_flight.call)) {
+  if (calls_.resume(in_flight.call_number)) {
     ++endpoint.calls;
     destinations_.get_or_add(endpoint.info.destination).concurrency_limit.on_call_started();
   }
   message.in_flight = true;
   message.is_retry = false;
   attempts_[{message.id(), message.arrival.attempts - 1}] = {
-      endpoint.info.endpoint, in_flight.sent, CallsInFlight::number_of_resumed(in_flight.call)};
+      endpoint.info.endpoint, in_flight.sent, CallsInFlight::resumed_call_number(in_flight.call_number)};
 }
 
 // A withdrawn message needs no final answer, but it blocks its ordering key while its call is in flight.
@@ -212,7 +212,7 @@
   const auto found = messages_.find(event.id);
   if (found == messages_.end()) return;
   found->second.withdrawn = true;
-  if (!found->second.in_flight) finish(event.id);
+  if (!found->second.in_flight) finish_message(event.id);
 }
 
 void Policy::Impl::handle(const TimerFired& event) {
@@ -242,7 +242,7 @@
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
 
-size_t Policy::ejected_endpoints(Time now) const { return impl_->ejected_endpoints(now); }
+size_t Policy::count_ejected_endpoints(Time now) const { return impl_->count_ejected_endpoints(now); }
 
 void Policy::step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
   impl_->step(now, events, actions);
--- a/policy/policy_impl.h
+++ b/policy/policy_impl.h
@@ -42,7 +42,7 @@
   Impl(Settings settings, uint64_t seed);
 
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions);
-  size_t ejected_endpoints(Time now) const { return directory_.count_ejected(now); }
+  size_t count_ejected_endpoints(Time now) const { return directory_.count_ejected(now); }
 
  private:
   struct StartedCall {
@@ -51,7 +51,7 @@
   };
 
   // State of sending to one destination within a step.
-  struct DestinationTurn {
+  struct DestinationSchedule {
     int number = 0;
     const SendQueue& queue;
     Destination& destination;
@@ -60,10 +60,10 @@
     std::optional<SendCandidate> last_within_share;  // the last one sent within the destination's share
     bool is_over_share = false;
   };
-  using DestinationTurns = std::vector<DestinationTurn>;
+  using DestinationSchedules = std::vector<DestinationSchedule>;
 
   // An attempt that ended, and the state that it affects.
-  struct EndedCall {
+  struct EndedAttempt {
     const AttemptEnded& event;
     const Attempt& attempt;
     EndpointState& endpoint;
@@ -100,32 +100,33 @@
   void resume_call(Message& message);
 
   // The end of an attempt; in attempt_outcome.cpp.
-  bool end_call(const EndedCall& ended);
-  void block(Route& route, Time until);
-  void learn_from(const EndedCall& ended);
-  void learn_from_success(const EndedCall& ended);
-  void learn_from_rejection(const EndedCall& ended, const LoadReport& report);
-  void learn_from_failure(const EndedCall& ended);
-  void continue_message(Message& message, const EndedCall& ended);
-  void prepare_next_attempt(Message& message, const EndedCall& ended);
+  bool finish_attempt(const EndedAttempt& ended);
+  void block_route(Route& route, Time until);
+  void record_result(const EndedAttempt& ended);
+  void record_success(const EndedAttempt& ended);
+  void record_rejection(const EndedAttempt& ended, const LoadReport& report);
+  void record_failure(const EndedAttempt& ended);
+  void continue_message(Message& message, const EndedAttempt& ended);
+  void prepare_next_attempt(Message& message, const EndedAttempt& ended);
 
   // Final answers; in final_answers.cpp.
-  void finish(uint64_t id, const std::optional<Action>& answer = {});
-  std::vector<uint64_t> undeliverable();
-  Time opens_at(int destination) const;
+  void finish_message(uint64_t id, const std::optional<Action>& answer = {});
+  std::vector<uint64_t> undeliverable_messages();
+  Time unblocked_at(int destination) const;
   Time client_retry_after(const Message& message);
 
   // Selection of messages and endpoints; in dispatch.cpp.
   void update_send_queues();
   void update_next_in_order(uint64_t ordering_key);
-  DestinationTurns destination_turns();
-  void send_in_order(DestinationTurns& turns, bool within_share);
-  bool uses_its_share(const DestinationTurn& turn) const;
-  bool leaves_any_behind(const DestinationTurns& turns, const SendCandidate& sent, bool within_share) const;
-  bool try_send(DestinationTurn& turn, const SendCandidate& candidate);
-  TrialCalls::Decision may_send_trial(EndpointState& endpoint);
+  DestinationSchedules destination_schedules();
+  void send_by_priority(DestinationSchedules& turns, bool within_share);
+  bool has_reached_share(const DestinationSchedule& turn) const;
+  bool has_candidates_left(const DestinationSchedules& turns, const SendCandidate& sent,
+                           bool within_share) const;
+  bool try_send(DestinationSchedule& turn, const SendCandidate& candidate);
+  TrialCalls::Decision decide_trial(EndpointState& endpoint);
   StartedCall start_call(Destination& destination, EndpointState& endpoint);
-  void add_batch(const DestinationTurn& turn, EndpointState& endpoint, const StartedCall& call);
+  void fill_batch(const DestinationSchedule& turn, EndpointState& endpoint, const StartedCall& call);
   void send(Message& message, Destination& destination, EndpointState& endpoint, const StartedCall& call);
   bool may_cancel_late_calls() const;
   void cancel_late_calls();
--- a/policy/rate_limiter.cpp
+++ b/policy/rate_limiter.cpp
@@ -61,9 +61,9 @@
 
 void RateLimiter::on_served(const StepContext& context) {
   send_rate_ = std::max(send_rate_, rate_after_first_rejection_);
-  if (rate_held_back_message_) send_rate_ += kIncreasePerServedCall * send_rate_;
+  if (rate_delayed_message_) send_rate_ += kIncreasePerServedCall * send_rate_;
   if (limit_ > 0) send_rate_ = std::min(send_rate_, std::min(limit_, kMaxShare * own_share(context)));
-  rate_held_back_message_ = false;
+  rate_delayed_message_ = false;
 }
 
 void RateLimiter::on_limit_exhausted(Time blocked_until, const StepContext& context) {
@@ -73,9 +73,9 @@
 
 void RateLimiter::decrease_rate(const Rejection& rejection, const StepContext& context) {
   if (rejection.sent < decreased_at_) return;
-  const bool is_first = send_rate_ == 0 || rejection.first_in_row;
+  const bool is_first = send_rate_ == 0 || rejection.first_after_success;
   if (send_rate_ == 0) {
-    const bool may_be_overloaded = rejection.blocked_until <= context.now && rejection.fleet_too_large;
+    const bool may_be_overloaded = rejection.blocked_until <= context.now && rejection.fleet_may_overload;
     const double min_rate = may_be_overloaded ? 0 : kMinRateAtFirstRejection;
     send_rate_ = std::max(kOwnRateAllowance * rejection.own_rate, min_rate);
   }
@@ -89,7 +89,7 @@
 
 Time RateLimiter::next_send_at(const Message& message, const StepContext& context) {
   if (send_rate_ <= 0) return context.now;
-  const Time time_left = time_left_when_late(message.terms.latency_objective);
+  const Time time_left = time_left_when_late(message.class_settings.latency_objective);
   const bool is_late = limit_is_reported_ && context.now > message.full_weight_until - time_left;
   double rate = send_rate_;
   if (is_late) {
@@ -97,7 +97,7 @@
     rate = std::min(send_rate_, share * own_share(context));
   }
   const Time at = bucket_.next_token_at(context.now, rate, std::max(1.0, kBurstSeconds * send_rate_));
-  rate_held_back_message_ = rate_held_back_message_ || at > context.now;
+  rate_delayed_message_ = rate_delayed_message_ || at > context.now;
   return at;
 }
 
--- a/policy/rate_limiter.h
+++ b/policy/rate_limiter.h
@@ -21,11 +21,12 @@
 class RateLimiter {
  public:
   struct Rejection {
-    Time sent = 0;                 // when the rejected call was sent
-    Time blocked_until = 0;        // the route's retry-after, 0 if none
-    double own_rate = 0;           // estimated rate of this relay's served calls
-    bool first_in_row = false;     // no failure or rejection came before it since the last served call
-    bool fleet_too_large = false;  // the relays together might overload the route if each sent another call
+    Time sent = 0;                     // when the rejected call was sent
+    Time blocked_until = 0;            // the route's retry-after, 0 if none
+    double own_rate = 0;               // estimated rate of this relay's served calls
+    bool first_after_success = false;  // no failure or rejection came before it since the last served call
+    bool fleet_may_overload =
+        false;  // the relays together might overload the route if each sent another call
   };
 
   // Sets a limit from the list of endpoints. It does not replace a reported limit.
@@ -66,7 +67,7 @@
   double rate_after_first_rejection_ = 0;  // after the first of consecutive rejections; restored by success
   Time adjusted_at_ = 0;                   // when a report or a rejection last changed the rate
   Time decreased_at_ = 0;                  // rejections of calls sent earlier do not decrease the rate again
-  bool rate_held_back_message_ = false;    // the send rate delayed a message since the last served call
+  bool rate_delayed_message_ = false;      // the send rate delayed a message since the last served call
   double headroom_ = 1;                    // mean remaining share of the limit
   TokenBucket bucket_;
 };
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -10,19 +10,19 @@
  public:
   // The cap grows with the number of messages that may travel in one call.
   void set_cap_for_batch(int max_batch_size);
-  void fill() { parts_ = cap_; }
+  void fill() { token_tenths_ = cap_tenths_; }
 
   // Restores a balance that persisted_token_tenths() returned.
   void restore(int parts);
-  int persisted_parts() const;
+  int persisted_token_tenths() const;
 
   void on_served();
   bool can_retry() const;
   void pay_retry();
 
  private:
-  int cap_ = 0;    // in tenths of a token
-  int parts_ = 0;  // in tenths of a token
+  int cap_tenths_ = 0;    // in tenths of a token
+  int token_tenths_ = 0;  // in tenths of a token
 };
 
 }  // namespace turntally::policy
--- a/policy/route.cpp
+++ b/policy/route.cpp
@@ -11,11 +11,11 @@
 
 const char* log_text(OutageDetector::Change change) {
   switch (change) {
-    case OutageDetector::Change::kWasOnlySlow:
+    case OutageDetector::Change::kSuspicionCleared:
       return "suspicion cleared, calls were only slow";
     case OutageDetector::Change::kRecovering:
       return "recovering, slow start begins";
-    case OutageDetector::Change::kFailsAgain:
+    case OutageDetector::Change::kRecoveryFailed:
       return "recovery failed";
     case OutageDetector::Change::kWarmedUp:
       return "warm";
@@ -28,7 +28,7 @@
 }  // namespace
 
 void Route::on_served(Time sent, const StepContext& context, std::vector<Action>& actions) {
-  trial_calls.forget_health_check();
+  trial_calls.discard_passed_health_check();
   rate_limiter.on_served(context);
   log_change(outage_detector_.on_served(sent, context.now), actions);
 }
@@ -40,7 +40,7 @@
   // recovery begins at that time.
   if (outage().in_outage() || call.retry_after <= kMaxLimitSpan) return;
   begin_outage({"retry-after is too long for a rate limit"}, context, actions);
-  outage_detector_.recover_from(blocked_until_);
+  outage_detector_.set_recovery_start(blocked_until_);
   slow_start.refill_from(blocked_until_);
 }
 
@@ -49,8 +49,8 @@
   rejection.sent = sent;
   rejection.blocked_until = blocked_until_;
   rejection.own_rate = own_rate(context);
-  rejection.first_in_row = !outage_detector_.has_failures();
-  rejection.fleet_too_large = fleet_exceeds_trial_budget(rejection.own_rate, context.settings);
+  rejection.first_after_success = !outage_detector_.has_failures();
+  rejection.fleet_may_overload = fleet_exceeds_trial_budget(rejection.own_rate, context.settings);
   rate_limiter.decrease_rate(rejection, context);
 }
 
@@ -90,7 +90,7 @@
 }
 
 void Route::restore(const DestinationState& state, Time now) {
-  blocked_until_ = state.wait_until;
+  blocked_until_ = state.blocked_until;
   outage_detector_.restore({state.outage_since, state.recovering_since, state.rate_before_outage});
   slow_start.restore(now);
 }
@@ -102,14 +102,14 @@
     state.recovering_since = outage().recovering_since;
     state.rate_before_outage = outage().rate_before_outage;
   }
-  state.wait_until = blocked_until_ > now ? blocked_until_ : 0;
+  state.blocked_until = blocked_until_ > now ? blocked_until_ : 0;
 }
 
 void Route::begin_outage(const OutageDetector::Evidence& evidence, const StepContext& context,
                          std::vector<Action>& actions) {
   outage_detector_.begin_outage(own_rate(context), evidence.suspicion_only, context.now);
   slow_start.restart(context);
-  trial_calls.forget_health_check();
+  trial_calls.discard_passed_health_check();
   const auto calls_per_minute = std::lround(60 * outage().rate_before_outage);
   log(std::string("outage, ") + evidence.description + "; rate before: " + std::to_string(calls_per_minute) +
           " calls per minute",
--- a/policy/send_queue.cpp
+++ b/policy/send_queue.cpp
@@ -17,8 +17,8 @@
 
 SendGroup send_group(const Message& message) {
   const bool zone_matters =
-      needs_deduplication(message) && message.terms.deduplication_scope == DeduplicationScope::kZone;
-  return {weight_terms(message), message.is_retry,
+      needs_deduplication(message) && message.class_settings.deduplication_scope == DeduplicationScope::kZone;
+  return {weight_parameters(message), message.is_retry,
           zone_matters ? message.arrival.possibly_run_zone : kAnyZone};
 }
 
@@ -58,10 +58,11 @@
 SendCandidate SendOrder::first_of(const SendGroup& group, const SendQueue::Messages& messages) const {
   auto found = messages.lower_bound({delivery_at_, 0});
   if (found == messages.end()) --found;  // no message has its full weight at delivery
-  const double best_key = value(group.weight, found->first);
-  const bool is_tied = found != messages.begin() && value(group.weight, std::prev(found)->first) == best_key;
+  const double best_key = sort_key(group.weight, found->first);
+  const bool is_tied =
+      found != messages.begin() && sort_key(group.weight, std::prev(found)->first) == best_key;
   if (is_tied) {
-    const Time begin = first_with_value_of(group.weight, messages.begin()->first, found->first);
+    const Time begin = first_with_sort_key_of(group.weight, messages.begin()->first, found->first);
     found = messages.lower_bound({begin, 0});
   }
   return {best_key, found->first, found->second};
@@ -94,7 +95,7 @@
     segment.has_full_weight = cuts[i] >= delivery_at_;
     segment.tie_begin = segment.has_full_weight ? segment.begin : segment.end;
     segment.tie_end = segment.end;
-    segment.tie_value = value(group.weight, delivery_at_);
+    segment.tie_sort_key = sort_key(group.weight, delivery_at_);
     segment.position = {segment.tie_begin, 0};
     segments_.push_back(segment);
   }
@@ -112,7 +113,7 @@
   return best;
 }
 
-void SendOrder::pass() {
+void SendOrder::advance() {
   std::pair<Time, uint64_t>& position = segments_[next_segment_].position;
   position = {position.first, position.second + 1};
 }
@@ -122,7 +123,7 @@
     const auto found = segment.messages->lower_bound(segment.position);
     if (found == segment.messages->end() || found->first >= segment.tie_end) continue;
     segment.position = *found;
-    return SendCandidate{segment.tie_value, found->first, found->second};
+    return SendCandidate{segment.tie_sort_key, found->first, found->second};
   } while (move_to_next_tie(segment));
   return {};
 }
@@ -135,21 +136,21 @@
   --last;
   if (last->first < segment.begin) return false;
   segment.tie_end = segment.tie_begin;
-  segment.tie_value = value(segment.group->weight, last->first);
-  segment.tie_begin = first_with_value_of(segment.group->weight, segment.begin, last->first);
+  segment.tie_sort_key = sort_key(segment.group->weight, last->first);
+  segment.tie_begin = first_with_sort_key_of(segment.group->weight, segment.begin, last->first);
   segment.position = {segment.tie_begin, 0};
   return true;
 }
 
 // Returns the earliest end of the full weight, not before `earliest`, that has the same sort key as
 // `full_weight_until`.
-Time SendOrder::first_with_value_of(const WeightTerms& parameters, Time earliest,
-                                    Time full_weight_until) const {
-  const double target_key = value(parameters, full_weight_until);
+Time SendOrder::first_with_sort_key_of(const WeightParameters& parameters, Time earliest,
+                                       Time full_weight_until) const {
+  const double target_key = sort_key(parameters, full_weight_until);
   Time equal = full_weight_until;
   while (earliest < equal) {
     const Time middle = earliest + (equal - earliest) / 2;
-    if (value(parameters, middle) == target_key) {
+    if (sort_key(parameters, middle) == target_key) {
       equal = middle;
     } else {
       earliest = middle + 1;
@@ -166,12 +167,12 @@
 
 // Returns the last message in the order of sending, which is one of those with the lowest weight.
 SendCandidate SendOrder::last_of(const SendGroup& group, const SendQueue::Messages& messages) const {
-  const double last_key = value(group.weight, messages.begin()->first);
+  const double last_key = sort_key(group.weight, messages.begin()->first);
   Time equal = messages.begin()->first;
   Time above = messages.rbegin()->first + 1;
   while (equal + 1 < above) {
     const Time middle = equal + (above - equal) / 2;
-    if (value(group.weight, middle) == last_key) {
+    if (sort_key(group.weight, middle) == last_key) {
       equal = middle;
     } else {
       above = middle;
@@ -181,7 +182,7 @@
   return {last_key, last->first, last->second};
 }
 
-double SendOrder::value(const WeightTerms& parameters, Time full_weight_until) const {
+double SendOrder::sort_key(const WeightParameters& parameters, Time full_weight_until) const {
   const double weight = weight_at(parameters, full_weight_until, delivery_at_, late_weight_halves_);
   return negated_weight_per_slot_second(weight, latency_seconds_);
 }
--- a/policy/send_queue.h
+++ b/policy/send_queue.h
@@ -25,7 +25,7 @@
 
 // The properties that the messages of a group share.
 struct SendGroup {
-  WeightTerms weight;
+  WeightParameters weight;
   bool is_retry = false;
   // If it is not kAnyZone, only endpoints of this zone would recognize a repeat of the message.
   int required_zone = kAnyZone;
@@ -61,7 +61,7 @@
 class SendOrder {
  public:
   // The messages of one group that the rate limit of a route treats alike.
-  struct Class {
+  struct Subgroup {
     const SendGroup& group;
     bool is_late_for_limit = false;  // see time_left_when_late()
   };
@@ -74,14 +74,14 @@
 
   // Returns the next message that has not been passed or dropped, or nothing if there is none.
   std::optional<SendCandidate> next();
-  Class class_of_next() const { return segments_[next_segment_].its_class(); }
+  Subgroup subgroup_of_next() const { return segments_[next_segment_].subgroup(); }
   // Moves past the message that next() returned.
-  void pass();
+  void advance();
   // Drops the remaining messages of all subgroups for which `is_dropped` returns true.
   template <class Predicate>
   void drop_if(Predicate is_dropped) {
     add_segments();
-    std::erase_if(segments_, [&](const Segment& segment) { return is_dropped(segment.its_class()); });
+    std::erase_if(segments_, [&](const Segment& segment) { return is_dropped(segment.subgroup()); });
   }
   // Whether any message in the queue, even a passed or dropped one, follows `candidate` in the order.
   bool has_any_after(const SendCandidate& candidate) const;
@@ -99,10 +99,10 @@
     bool has_full_weight = false;
     Time tie_begin = 0;  // the present tie: full weight ends in [tie_begin, tie_end)
     Time tie_end = 0;
-    double tie_value = 0;                // negated_weight_per_slot_second of its messages
+    double tie_sort_key = 0;             // negated_weight_per_slot_second of its messages
     std::pair<Time, uint64_t> position;  // the first message that may be next
 
-    Class its_class() const { return {*group, is_late_for_limit}; }
+    Subgroup subgroup() const { return {*group, is_late_for_limit}; }
   };
 
   std::optional<SendCandidate> first() const;
@@ -111,9 +111,10 @@
   SendCandidate first_of(const SendGroup& group, const SendQueue::Messages& messages) const;
   std::optional<SendCandidate> next_of(Segment& segment) const;
   bool move_to_next_tie(Segment& segment) const;
-  Time first_with_value_of(const WeightTerms& parameters, Time earliest, Time full_weight_until) const;
+  Time first_with_sort_key_of(const WeightParameters& parameters, Time earliest,
+                              Time full_weight_until) const;
   SendCandidate last_of(const SendGroup& group, const SendQueue::Messages& messages) const;
-  double value(const WeightTerms& parameters, Time full_weight_until) const;
+  double sort_key(const WeightParameters& parameters, Time full_weight_until) const;
 
   const SendQueue& queue_;
   Time now_;
