--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -208,9 +208,9 @@
   settings.clients_honor_retry_after = values.flag("bounds.retry_after", false);
   settings.late_weight_halves = values.text("family_info.late", "line") == "halves";
   const std::string weights = values.text("weights", "silent");
-  settings.weights = weights == "nominal" ? Weights::kNominal
-                     : weights == "rough" ? Weights::kRough
-                                          : Weights::kNone;
+  settings.weight_meaning = weights == "nominal" ? WeightMeaning::kNominal
+                            : weights == "rough" ? WeightMeaning::kRough
+                                                 : WeightMeaning::kNone;
   settings.over_quota_weight_share = values.number_between("over_share_worth", 0, 1, 1.0);
   settings.tick = values.time("resolution_s", 0);
   settings.connection_idle_timeout = values.time("bounds.conn_idle_s", 0);
--- a/policy/tenant_quota.h
+++ b/policy/tenant_quota.h
@@ -17,7 +17,7 @@
   // there is one.
   double weight_share(int tenant, Time now, const Settings& settings);
 
-  void forget_all() { buckets_.clear(); }
+  void reset() { buckets_.clear(); }
 
  private:
   std::map<int, TokenBucket> buckets_;
--- a/policy/time.h
+++ b/policy/time.h
@@ -12,7 +12,7 @@
 constexpr Time kMillisecond = 1000;
 constexpr Time kSecond = 1000 * kMillisecond;
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr Time kAlways = std::numeric_limits<Time>::min();  // before any point in time
+constexpr Time kAlreadyPast = std::numeric_limits<Time>::min();  // before any point in time
 
 inline double seconds(Time microseconds) { return static_cast<double>(microseconds) / 1e6; }
 
--- a/policy/trial_calls.cpp
+++ b/policy/trial_calls.cpp
@@ -36,7 +36,7 @@
   return own_rate / share_of_relays_aware(outage, context.now);
 }
 
-TrialCalls::Decision TrialCalls::may_send_trial(const OutageState& outage, bool health_checks_allowed) {
+TrialCalls::Decision TrialCalls::decide_trial(const OutageState& outage, bool health_checks_allowed) {
   if (!outage.needs_trial() || !health_checks_allowed) return Decision::kSend;
   if (std::exchange(health_check_passed_, false)) return Decision::kSend;
   return health_check_in_flight_ ? Decision::kWait : Decision::kSendHealthCheck;
--- a/policy/trial_calls.h
+++ b/policy/trial_calls.h
@@ -23,7 +23,7 @@
   enum class Decision { kSend, kSendHealthCheck, kWait };
 
   // Decides whether a call may be sent to the route now. kSend uses up a passed health check.
-  Decision may_send_trial(const OutageState& outage, bool health_checks_allowed);
+  Decision decide_trial(const OutageState& outage, bool health_checks_allowed);
 
   void on_trial_sent() { ++in_flight_; }
   void on_trial_ended() { --in_flight_; }
@@ -31,7 +31,7 @@
 
   void on_health_check_sent() { health_check_in_flight_ = true; }
   void on_health_check_ended(bool passed);
-  void forget_health_check() { health_check_passed_ = false; }
+  void discard_passed_health_check() { health_check_passed_ = false; }
 
  private:
   int in_flight_ = 0;
--- a/policy/waiting_messages.cpp
+++ b/policy/waiting_messages.cpp
@@ -60,7 +60,7 @@
 
 std::vector<uint64_t> WaitingMessages::expired(Time now) const { return ids_until(by_expiry_, now); }
 
-std::vector<uint64_t> WaitingMessages::last_start_until(int destination, Time at) const {
+std::vector<uint64_t> WaitingMessages::must_start_by(int destination, Time at) const {
   const auto found = by_destination_.find(destination);
   return found == by_destination_.end() ? std::vector<uint64_t>() : ids_until(found->second, at);
 }
--- a/policy/waiting_messages.h
+++ b/policy/waiting_messages.h
@@ -26,7 +26,7 @@
   // Returns the ids of messages that allow no further attempt, or that no attempt can start for in time.
   std::vector<uint64_t> expired(Time now) const;
   // Returns the ids of a destination's messages whose last start is not after `at`.
-  std::vector<uint64_t> last_start_until(int destination, Time at) const;
+  std::vector<uint64_t> must_start_by(int destination, Time at) const;
   // Returns the earliest last start of all messages; kNever if there are none.
   Time next_last_start() const;
 
--- a/registry/backup_restore.cpp
+++ b/registry/backup_restore.cpp
@@ -19,10 +19,10 @@
 
 }  // namespace
 
-json backup_of(const State& state) {
+json make_backup(const State& state) {
   json backup = {{"format", kBackupFormat}, {"identity", state.identity()}, {"revision", state.revision()}};
   backup["entries"] = json::array();
-  for (const auto& [id, entry] : state.entries()) backup["entries"].push_back(json_of(entry));
+  for (const auto& [id, entry] : state.entries()) backup["entries"].push_back(entry_to_json(entry));
   for (const auto& [id, since] : state.drains()) backup[kDrainedIds].push_back(id);
   return backup;
 }
@@ -38,7 +38,7 @@
   const auto entries = backup.find("entries");
   if (entries == backup.end() || !entries->is_array()) throw std::invalid_argument("entries: is no list");
   for (const json& object : *entries) {
-    const Entry entry = entry_of(object, "");
+    const Entry entry = parse_entry(object, "");
     command.mutations.push_back({entry.id, entry, {}});
   }
   for (const std::string& id : json_field<std::vector<std::string>>(backup, kDrainedIds, {})) {
--- a/registry/backup_restore.h
+++ b/registry/backup_restore.h
@@ -9,7 +9,7 @@
 
 namespace turntally::registry {
 
-nlohmann::json backup_of(const State& state);
+nlohmann::json make_backup(const State& state);
 
 // Returns the command that restores a backup. The restored list gets a new identity and revisions above those
 // of the backup. Throws std::invalid_argument if `body` is not a backup.
--- a/registry/client.cpp
+++ b/registry/client.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "net/backoff.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "net/random.h"
 #include "registry/client_errors.h"
 
@@ -39,7 +39,7 @@
   return !text.empty() && text.find_first_not_of("abcdefghijklmnopqrstuvwxyz_") == std::string::npos;
 }
 
-Refused parse_refusal(const net::HttpReply& reply) {
+Refused parse_refusal(const net::HttpResponse& reply) {
   const json body = json::parse(reply.body, nullptr, false);
   const std::string message = string_field(body, "error");
   const std::string code = string_field(body, "code");
@@ -48,7 +48,7 @@
 }
 
 // Returns the address that a redirect names, or nothing if it cannot be parsed.
-std::optional<net::tcp::endpoint> redirect_target(const net::HttpReply& reply) {
+std::optional<net::tcp::endpoint> redirect_target(const net::HttpResponse& reply) {
   const auto it = reply.fields.find("location");
   if (it == reply.fields.end() || !it->second.starts_with("http://")) return {};
   try {
@@ -60,9 +60,9 @@
 
 // Returns the last reply, which is a 307 if its target cannot be parsed or there were too many redirects;
 // nothing if no reply came. Sets `arrived` to whether the last call may have reached a member.
-std::optional<net::HttpReply> call_following_redirects(net::tcp::endpoint to, const net::HttpCall& call,
-                                                       bool& arrived) {
-  std::optional<net::HttpReply> reply;
+std::optional<net::HttpResponse> call_following_redirects(net::tcp::endpoint to, const net::HttpCall& call,
+                                                          bool& arrived) {
+  std::optional<net::HttpResponse> reply;
   for (int i = 0; i <= kMaxRedirects; ++i) {
     arrived = false;
     reply = net::http_call(to, call);
@@ -76,18 +76,18 @@
 
 }  // namespace
 
-net::HttpReply Client::send(net::HttpCall call) {
+net::HttpResponse Client::send(net::HttpCall call) {
   if (call.method != "GET" && !call.fields.contains("Idempotency-Key")) {
     call.fields["Idempotency-Key"] = net::hex(random_seed());
   }
-  const auto deadline = std::chrono::steady_clock::now() + patience_;
+  const auto deadline = std::chrono::steady_clock::now() + timeout_;
   net::Backoff backoff(1, random_seed());
   bool arrived = false;  // the connection of the current call was established
   bool outcome_unknown = false;
   std::optional<Refused> last_refusal;
-  call.connected = [&arrived] { arrived = true; };
+  call.on_connected = [&arrived] { arrived = true; };
   do {
-    const auto reply = call_following_redirects(members_[at_ % members_.size()], call, arrived);
+    const auto reply = call_following_redirects(members_[member_index_ % members_.size()], call, arrived);
     if (reply && reply->status != 307 && reply->status != 503) return *reply;
     if (!reply) outcome_unknown = outcome_unknown || arrived;
     if (reply && reply->status == 503) {
@@ -95,8 +95,8 @@
       const json body = json::parse(reply->body, nullptr, false);
       outcome_unknown = outcome_unknown || string_field(body, "outcome") == "unknown";
     }
-    ++at_;
-    std::this_thread::sleep_for(backoff.next());
+    ++member_index_;
+    std::this_thread::sleep_for(backoff.next_delay());
   } while (std::chrono::steady_clock::now() < deadline);
   std::string no_answer = "no member answered at";
   for (const net::tcp::endpoint& member : members_) no_answer += " " + net::text_of(member);
@@ -107,7 +107,7 @@
 }
 
 json Client::get(net::HttpCall call) {
-  const net::HttpReply reply = send(std::move(call));
+  const net::HttpResponse reply = send(std::move(call));
   if (reply.status != 200) throw parse_refusal(reply);
   json out = json::parse(reply.body, nullptr, false);
   if (!out.is_object())
@@ -119,9 +119,9 @@
   int64_t revision = -1;
   std::string identity;
   net::Backoff backoff(1, random_seed());
-  for (bool keep_watching = true; keep_watching; ++at_) {
+  for (bool keep_watching = true; keep_watching; ++member_index_) {
     boost::asio::io_context io;
-    std::shared_ptr<net::Lines> stream;
+    std::shared_ptr<net::JsonStream> stream;
     const auto read = [&](const std::string& text) {
       const json parsed = json::parse(text, nullptr, false);
       if (parsed.is_object()) {
@@ -132,13 +132,13 @@
       keep_watching = on_line(text);
       return keep_watching;
     };
-    stream = std::make_shared<net::Lines>(io, members_[at_ % members_.size()], kWatchTimeout, read,
-                                          [&](net::Lines::End) { stream->close(); });
+    stream = std::make_shared<net::JsonStream>(io, members_[member_index_ % members_.size()], kWatchTimeout,
+                                               read, [&](net::JsonStream::EndReason) { stream->close(); });
     std::string target = "/api/targets?stream=1";
     if (revision >= 0) target += "&index=" + std::to_string(revision) + "&identity=" + identity;
     stream->start(target);
     io.run();
-    if (keep_watching) std::this_thread::sleep_for(backoff.next());
+    if (keep_watching) std::this_thread::sleep_for(backoff.next_delay());
   }
 }
 
--- a/registry/client.h
+++ b/registry/client.h
@@ -17,12 +17,12 @@
  public:
   explicit Client(std::vector<net::tcp::endpoint> members,
                   std::chrono::milliseconds timeout = std::chrono::milliseconds(8000))
-      : members_(std::move(members)), patience_(timeout) {}
+      : members_(std::move(members)), timeout_(timeout) {}
 
   // Calls the members in turn until one gives a reply other than 503, and returns that. Writes get an
   // Idempotency-Key unless they have one. On timeout throws OutcomeUnknown for a write that may have been
   // applied, else Refused with the text of the last 503, or NoMember if there was none.
-  net::HttpReply send(net::HttpCall call);
+  net::HttpResponse send(net::HttpCall call);
   // Like send(), but throws Refused for any status other than 200, and AnswerUnreadable if the body is not a
   // JSON object.
   nlohmann::json get(net::HttpCall call);
@@ -32,8 +32,8 @@
 
  private:
   std::vector<net::tcp::endpoint> members_;
-  std::chrono::milliseconds patience_;
-  size_t at_ = 0;
+  std::chrono::milliseconds timeout_;
+  size_t member_index_ = 0;
 };
 
 }  // namespace turntally::registry
--- a/registry/client_errors.h
+++ b/registry/client_errors.h
@@ -8,7 +8,7 @@
 class NoMember : public net::Error {
  public:
   explicit NoMember(const std::string& what)
-      : Error("no_member", net::Family::kBroken, what,
+      : Error("no_member", net::ErrorKind::kFailure, what,
               "start the members, or pass their addresses with --at or TURNTALLY_REGISTRY") {}
 };
 
@@ -24,10 +24,10 @@
 
  private:
   // A 4xx, 503 or 507 depends on the current state; any other status means that something is broken.
-  static net::Family family_of(int status) {
-    if (status == 400 || status == 405 || status == 413) return net::Family::kMisuse;
+  static net::ErrorKind family_of(int status) {
+    if (status == 400 || status == 405 || status == 413) return net::ErrorKind::kInvalidInput;
     const bool is_refusal = (status >= 400 && status < 500) || status == 503 || status == 507;
-    return is_refusal ? net::Family::kRefused : net::Family::kBroken;
+    return is_refusal ? net::ErrorKind::kRefused : net::ErrorKind::kFailure;
   }
 
   int status_;
@@ -37,14 +37,14 @@
 class OutcomeUnknown : public net::Error {
  public:
   explicit OutcomeUnknown(const std::string& what)
-      : Error("outcome_unknown", net::Family::kUnknown, what + "; the write may have been applied",
+      : Error("outcome_unknown", net::ErrorKind::kOutcomeUnknown, what + "; the write may have been applied",
               "read the current state before you repeat the write") {}
 };
 
 class AnswerUnreadable : public net::Error {
  public:
   explicit AnswerUnreadable(const std::string& what)
-      : Error("answer_unreadable", net::Family::kBroken, "the answer is not a registry's: " + what,
+      : Error("answer_unreadable", net::ErrorKind::kFailure, "the answer is not a registry's: " + what,
               "check that --at names the members' HTTP addresses") {}
 };
 
@@ -52,7 +52,7 @@
 class ListUnreadable : public net::Error {
  public:
   explicit ListUnreadable(const std::string& what)
-      : Error("list_unreadable", net::Family::kBroken, "unreadable list: " + what,
+      : Error("list_unreadable", net::ErrorKind::kFailure, "unreadable list: " + what,
               "check which program answers at the member's address, and its version") {}
 };
 
--- a/registry/cluster_join.cpp
+++ b/registry/cluster_join.cpp
@@ -75,7 +75,7 @@
   if (stopped_) return;
   if (!reply) return retry();
   if (reply->status == 307) follow_redirect(*reply);
-  if (reply->status == 200 && joined_by(*reply)) return;
+  if (reply->status == 200 && try_finish(*reply)) return;
   if (reply->status == 404) {
     const std::string number = std::to_string(config_.member);
     return listener_.rejected("member " + number +
@@ -84,14 +84,14 @@
   retry();
 }
 
-void ClusterJoin::follow_redirect(const net::HttpReply& reply) {
+void ClusterJoin::follow_redirect(const net::HttpResponse& reply) {
   const auto location = reply.fields.find("location");
   if (location == reply.fields.end() || !location->second.starts_with(kHttpScheme)) return;
   const size_t begin = kHttpScheme.size();
   leader_http_ = location->second.substr(begin, location->second.find('/', begin) - begin);
 }
 
-bool ClusterJoin::joined_by(const net::HttpReply& reply) {
+bool ClusterJoin::try_finish(const net::HttpResponse& reply) {
   const json body = json::parse(reply.body, nullptr, false);
   if (!body.is_object() || body.value("id", MemberId{0}) == 0) return false;
   finish(body["id"].get<MemberId>(), false);
--- a/registry/cluster_join.h
+++ b/registry/cluster_join.h
@@ -33,14 +33,14 @@
   void stop();
 
  private:
-  using Reply = std::optional<net::HttpReply>;
+  using Reply = std::optional<net::HttpResponse>;
 
   void query_status(const MemberAddress& member);
   void on_status(const MemberAddress& member, const Reply& reply);
   void request_join();
   void on_join_reply(const Reply& reply);
-  void follow_redirect(const net::HttpReply& reply);
-  bool joined_by(const net::HttpReply& reply);
+  void follow_redirect(const net::HttpResponse& reply);
+  bool try_finish(const net::HttpResponse& reply);
   void retry();
   void finish(MemberId id, bool bootstrap);
   bool should_log() { return log_calls_++ % kLogInterval == 0; }
--- a/registry/command.h
+++ b/registry/command.h
@@ -65,15 +65,15 @@
   };
   Kind kind = Kind::kTick;
   Millis now_ms = 0;
-  std::string request;  // a command with a key that was used before returns the first one's result
+  std::string idempotency_key;  // a command with a key that was used before returns the first one's result
   std::vector<Mutation> mutations;
   std::string text;
   uint64_t number = 0;
   LeaseCommand lease = {};
-  std::string fence{};    // if set, the command is applied only while this lease has the grant below
-  Token fence_token = 0;  // of that grant
-  bool whole = false;     // kMirror: entries of the source that are not named are removed
-  uint64_t serial = 0;    // kMirror: grows with each call under a grant; a call with a lower one is rejected
+  std::string fence_lease{};  // if set, the command is applied only while this lease has the grant below
+  Token fence_token = 0;      // of that grant
+  bool is_complete = false;   // kMirror: entries of the source that are not named are removed
+  uint64_t serial = 0;  // kMirror: grows with each call under a grant; a call with a lower one is rejected
 };
 
 struct ApplyResult {
--- a/registry/command_codec.cpp
+++ b/registry/command_codec.cpp
@@ -15,7 +15,7 @@
 
 json encode_lease_command(const LeaseCommand& command) {
   return json::array({static_cast<int>(command.kind), command.name, command.holder, command.ttl_ms,
-                      command.token, command.to, command.checkpoint});
+                      command.token, command.handover_target, command.checkpoint});
 }
 
 LeaseCommand decode_lease_command(const json& fields) {
@@ -45,7 +45,7 @@
 
 bool has_fence_fields(const Command& command) {
   return command.kind == Command::Kind::kLease || command.kind == Command::Kind::kMirror ||
-         !command.fence.empty();
+         !command.fence_lease.empty();
 }
 
 }  // namespace
@@ -55,16 +55,16 @@
   for (const Mutation& mutation : command.mutations) mutations.push_back(encode_mutation(mutation));
   json fields = {static_cast<int>(command.kind),
                  command.now_ms,
-                 command.request,
+                 command.idempotency_key,
                  mutations,
                  command.text,
                  command.number};
   if (has_fence_fields(command)) {
     const bool is_lease = command.kind == Command::Kind::kLease;
     fields.push_back(is_lease ? encode_lease_command(command.lease) : json());
-    fields.push_back(command.fence);
+    fields.push_back(command.fence_lease);
     fields.push_back(command.fence_token);
-    fields.push_back(command.whole);
+    fields.push_back(command.is_complete);
     if (command.serial != 0) fields.push_back(command.serial);
   }
   return to_cbor_bytes(fields);
@@ -79,15 +79,15 @@
   }
   command.kind = static_cast<Command::Kind>(kind);
   command.now_ms = fields.at(1);
-  command.request = fields.at(2);
+  command.idempotency_key = fields.at(2);
   for (const json& mutation : fields.at(3)) command.mutations.push_back(decode_mutation(mutation));
   command.text = fields.at(4);
   command.number = fields.at(5);
   if (fields.size() > kFieldsWithoutFence) {
     if (!fields.at(6).is_null()) command.lease = decode_lease_command(fields.at(6));
-    command.fence = fields.at(7);
+    command.fence_lease = fields.at(7);
     command.fence_token = fields.at(8);
-    if (fields.size() > 9) command.whole = fields.at(9);
+    if (fields.size() > 9) command.is_complete = fields.at(9);
     if (fields.size() > 10) command.serial = fields.at(10);
   }
   return command;
--- a/registry/config.h
+++ b/registry/config.h
@@ -24,18 +24,19 @@
   std::string http_listen;
   unsigned election_ms = 500;
   unsigned heartbeat_ms = 50;
-  int tick_ms = 500;                        // interval at which the leader writes the time to the log
-  int write_ms = 5000;                      // a write not applied by then is answered with outcome unknown
-  int lease_most_ttl_ms = 30'000;           // set by the leader; a new registry grants no lease for this long
-  int free_mb = 64;                         // a member with less free disk space takes no writes
-  std::map<std::string, std::string> dial;  // Raft address of a member to the address to dial instead
+  int tick_ms = 500;              // interval at which the leader writes the time to the log
+  int write_timeout_ms = 5000;    // a write not applied by then is answered with outcome unknown
+  int lease_max_ttl_ms = 30'000;  // set by the leader; a new registry grants no lease for this long
+  int min_free_mb = 64;           // a member with less free disk space takes no writes
+  std::map<std::string, std::string>
+      dial_overrides;                        // Raft address of a member to the address to dial instead
   std::optional<net::tcp::endpoint> mirror;  // discovery's address; checked, otherwise unused
 
   const MemberAddress& self() const;
 };
 
 // Reads and checks a configuration. `member` overrides the file's key of that name unless it is 0. Throws
-// net::BadInput.
+// net::InvalidInput.
 Config read_config(const std::string& path, uint64_t member = 0);
 Config read_config_text(const std::string& name, const std::string& toml, uint64_t member = 0);
 
--- a/registry/entry_json.cpp
+++ b/registry/entry_json.cpp
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-Entry entry_of(const json& object, const std::string& id) {
+Entry parse_entry(const json& object, const std::string& id) {
   if (!object.is_object()) throw std::invalid_argument("an entry must be a JSON object");
   check_field_names(object);
   Entry entry;
@@ -86,7 +86,7 @@
   return entry;
 }
 
-json json_of(const Entry& entry) {
+json entry_to_json(const Entry& entry) {
   json object = member_json(entry, entry.state);
   object["ttl_ms"] = entry.ttl_ms;
   object["revision"] = entry.revision;
--- a/registry/entry_json.h
+++ b/registry/entry_json.h
@@ -10,10 +10,10 @@
 
 // Parses an entry. Its id may be missing from the JSON; if present it must equal `id`, unless `id` is empty.
 // Throws std::invalid_argument with the field that is wrong.
-Entry entry_of(const nlohmann::json& json, const std::string& id);
+Entry parse_entry(const nlohmann::json& json, const std::string& id);
 
 // Returns the entry with its TTL (milliseconds) and revision, and with owner and source state if it is
 // mirrored.
-nlohmann::json json_of(const Entry& entry);
+nlohmann::json entry_to_json(const Entry& entry);
 
 }  // namespace turntally::registry
--- a/registry/error_reply.cpp
+++ b/registry/error_reply.cpp
@@ -2,12 +2,12 @@
 
 namespace turntally::registry {
 
-net::HttpReply error_reply(const Error& error, nlohmann::json body) {
+net::HttpResponse error_reply(const Error& error, nlohmann::json body) {
   body["code"] = error.code();
   body["error"] = error.what();
   body["action"] = error.action();
-  body["outcome"] = error.unknown() ? "unknown" : "none";
-  net::HttpReply reply{error.status(), body.dump() + "\n", "application/json", {}};
+  body["outcome"] = error.is_outcome_unknown() ? "unknown" : "none";
+  net::HttpResponse reply{error.status(), body.dump() + "\n", "application/json", {}};
   if (error.status() == 503) reply.fields["Retry-After"] = "1";
   return reply;
 }
--- a/registry/expiry.cpp
+++ b/registry/expiry.cpp
@@ -38,7 +38,7 @@
   Entry entry = data.entries.at(id);
   entry.state = kEntryLeaving;
   set_entry(data, revision, id, entry);
-  data.registrations[id] = data.now + data.limits.leave_ms;
+  data.registrations[id] = data.now + data.limits.leaving_ms;
   data.expired.insert(id);
   data.recent_expirations.push_back(data.now);
 }
--- a/registry/http_routes.h
+++ b/registry/http_routes.h
@@ -29,14 +29,14 @@
 
  private:
   void dispatch(const net::HttpRequest& request, const Responder& responder);
-  void targets(const net::HttpRequest& request, const Responder& responder);
-  void target(const net::HttpRequest& request, const Responder& responder, const std::string& id);
+  void handle_targets(const net::HttpRequest& request, const Responder& responder);
+  void handle_target(const net::HttpRequest& request, const Responder& responder, const std::string& id);
   void show_target(const Responder& responder, const std::string& id);
-  void registrations(const net::HttpRequest& request, const Responder& responder);
-  void leases(const net::HttpRequest& request, const Responder& responder);
+  void handle_registrations(const net::HttpRequest& request, const Responder& responder);
+  void handle_leases(const net::HttpRequest& request, const Responder& responder);
   void show_leases(const Responder& responder, const std::string& name);
-  void mirror(const net::HttpRequest& request, const Responder& responder);
-  void reports(const net::HttpRequest& request, const Responder& responder);
+  void handle_mirror(const net::HttpRequest& request, const Responder& responder);
+  void handle_reports(const net::HttpRequest& request, const Responder& responder);
 
   MemberState& member_;
   WriteRequests& writes_;
--- a/registry/leader_duties.cpp
+++ b/registry/leader_duties.cpp
@@ -45,7 +45,7 @@
 void LeaderDuties::propose_election() {
   Command command = make_command(Command::Kind::kLeaderElected);
   command.now_ms = member_.clock.read();
-  command.number = static_cast<uint64_t>(member_.config.lease_most_ttl_ms);
+  command.number = static_cast<uint64_t>(member_.config.lease_max_ttl_ms);
   member_.replica->propose(command, [this, term = member_.raft.term](const ProposalResult& result) {
     const bool committed = result.outcome == ProposalOutcome::kDone && term == member_.raft.term;
     election_committed_ = election_committed_ || committed;
--- a/registry/lease_requests.cpp
+++ b/registry/lease_requests.cpp
@@ -12,7 +12,7 @@
 namespace turntally::registry {
 namespace {
 
-using net::HttpReply;
+using net::HttpResponse;
 using nlohmann::json;
 
 LeaseCommand::Kind parse_kind(const json& body) {
@@ -53,8 +53,8 @@
 
 std::string unknown_text(const LeaseCommand& command, const LeaseResult& result) {
   if (result.holder.empty()) return "nobody holds " + quoted(command.name);
-  if (command.to.empty()) return "nobody waits for " + quoted(command.name);
-  return quoted(command.to) + " does not wait for " + quoted(command.name);
+  if (command.handover_target.empty()) return "nobody waits for " + quoted(command.name);
+  return quoted(command.handover_target) + " does not wait for " + quoted(command.name);
 }
 
 std::string refused_text(const LeaseCommand& command, const LeaseResult& result) {
@@ -63,9 +63,9 @@
   return "too many wait for " + quoted(command.name);
 }
 
-HttpReply refused_reply(const LeaseCommand& command, const LeaseResult& result, json body) {
+HttpResponse refused_reply(const LeaseCommand& command, const LeaseResult& result, json body) {
   body[wire::kRetryAfterMs] = result.retry_after_ms;
-  HttpReply reply = error_reply(LeaseRefused(refused_text(command, result)), std::move(body));
+  HttpResponse reply = error_reply(LeaseRefused(refused_text(command, result)), std::move(body));
   const Millis seconds = (result.retry_after_ms + 999) / 1000;
   reply.fields["Retry-After"] = std::to_string(std::max<Millis>(1, seconds));
   return reply;
@@ -80,14 +80,14 @@
   command.holder = json_field<std::string>(body, "holder", "");
   command.ttl_ms = json_field<Millis>(body, "ttl_ms", 0);
   command.token = json_field<Token>(body, "token", 0);
-  command.to = json_field<std::string>(body, "to", "");
+  command.handover_target = json_field<std::string>(body, "to", "");
   command.checkpoint = json_field<std::string>(body, wire::kCheckpoint, "");
   check_bounds(command, limits);
   return command;
 }
 
-HttpReply lease_result_reply(HttpReply head, const LeaseCommand& command, const LeaseResult& result,
-                             Revision revision) {
+HttpResponse lease_result_reply(HttpResponse head, const LeaseCommand& command, const LeaseResult& result,
+                                Revision revision) {
   json body = {{"token", result.token}, {"holder", result.holder}, {"revision", revision}};
   switch (result.kind) {
     case LeaseResult::Kind::kFenced:
@@ -101,7 +101,7 @@
       break;
   }
   body["outcome"] = result.kind == LeaseResult::Kind::kGranted ? wire::kGranted : wire::kQueued;
-  body["place"] = result.place;
+  body["place"] = result.queue_place;
   body[wire::kReleaseRequested] = result.release_requested;
   body[wire::kCheckpoint] = result.checkpoint;
   head.body = body.dump() + "\n";
--- a/registry/lease_requests.h
+++ b/registry/lease_requests.h
@@ -16,8 +16,8 @@
                                  const LeaseLimits& limits);
 
 // Returns the reply to a lease call: `head` with a body if it was granted, queued or done, else an error.
-net::HttpReply lease_result_reply(net::HttpReply head, const LeaseCommand& command, const LeaseResult& result,
-                                  Revision revision);
+net::HttpResponse lease_result_reply(net::HttpResponse head, const LeaseCommand& command,
+                                     const LeaseResult& result, Revision revision);
 
 // Returns a lease's status without its checkpoint. `now` is the log's time, in milliseconds.
 nlohmann::json lease_status(const Lease& lease, Millis now);
--- a/registry/lease_table.cpp
+++ b/registry/lease_table.cpp
@@ -102,7 +102,7 @@
   }
 }
 
-void LeaseTable::leader_elected(Millis now) {
+void LeaseTable::on_leader_elected(Millis now) {
   // Never shortens a promised time, even if a holder's TTL has changed since.
   const auto extend = [now](Millis& until, Millis ttl) { until = std::max(until, now + ttl); };
   for (auto& [name, lease] : leases_) {
@@ -182,7 +182,7 @@
   waiter->until_ms = std::max(waiter->until_ms, now.time + command.ttl_ms);
   next_deadline_ms_ = std::min(next_deadline_ms_, waiter->until_ms);
   result.kind = Kind::kQueued;
-  result.place = static_cast<size_t>(waiter - lease.queue.begin()) + 1;
+  result.queue_place = static_cast<size_t>(waiter - lease.queue.begin()) + 1;
   return result;
 }
 
@@ -201,8 +201,9 @@
 LeaseResult::Kind LeaseTable::request_handover(Lease& lease, const LeaseCommand& command) {
   if (command.token != 0 && command.token != lease.token) return Kind::kFenced;  // meant for another grant
   if (lease.queue.empty()) return Kind::kUnknown;
-  if (!command.to.empty() && find_waiter(lease, command.to) == lease.queue.end()) return Kind::kUnknown;
-  lease.handover_target = command.to.empty() ? kNextWaiter : command.to;
+  if (!command.handover_target.empty() && find_waiter(lease, command.handover_target) == lease.queue.end())
+    return Kind::kUnknown;
+  lease.handover_target = command.handover_target.empty() ? kNextWaiter : command.handover_target;
   return Kind::kGranted;
 }
 
@@ -260,7 +261,7 @@
   return it == leases_.end() || it->second.holder.empty() ? 0 : it->second.token;
 }
 
-bool LeaseTable::holds(const std::string& name, Token token) const {
+bool LeaseTable::is_current_token(const std::string& name, Token token) const {
   return token != 0 && current_token(name) == token;
 }
 
--- a/registry/lease_table.h
+++ b/registry/lease_table.h
@@ -46,12 +46,12 @@
     kCheckpoint  // by the holder with its token: stores its progress for its successor
   };
   Kind kind = Kind::kCampaign;
-  std::string name;        // of the lease
-  std::string holder;      // the calling process: a name that is new with each start
-  Millis ttl_ms = 0;       // kCampaign
-  Token token = 0;         // kRenew, kRelease, kCheckpoint; kHandOver: optional
-  std::string to;          // kHandOver
-  std::string checkpoint;  // kCheckpoint
+  std::string name;             // of the lease
+  std::string holder;           // the calling process: a name that is new with each start
+  Millis ttl_ms = 0;            // kCampaign
+  Token token = 0;              // kRenew, kRelease, kCheckpoint; kHandOver: optional
+  std::string handover_target;  // kHandOver
+  std::string checkpoint;       // kCheckpoint
 };
 
 struct LeaseResult {
@@ -65,7 +65,7 @@
   Kind kind = Kind::kGranted;
   Token token = 0;     // of the current grant; 0: there is none
   std::string holder;  // of the current grant
-  size_t place = 0;
+  size_t queue_place = 0;
   bool release_requested = false;  // a hand-over is requested: release soon
   std::string checkpoint;          // kCampaign, kGranted: stored by earlier holders
   Millis retry_after_ms = 0;       // kRefused
@@ -109,7 +109,7 @@
   // Ends grants and removes waiters that have expired by `now`; each free lease goes to its next waiter.
   void tick(Token revision, Millis now);
   // Extends each lease to a full TTL from `now`, because a new leader's clock is a different one.
-  void leader_elected(Millis now);
+  void on_leader_elected(Millis now);
   // Starts a new table: nothing is granted for the maximum TTL. Current grants continue.
   void start_grace_period(Millis now);
 
@@ -118,9 +118,9 @@
   void set_max_ttl(Millis max_ttl_ms) { limits_.max_ttl_ms = std::max(max_ttl_ms, limits_.min_ttl_ms); }
 
   // Returns whether `token` is the token of the lease's current grant.
-  bool holds(const std::string& name, Token token) const;
+  bool is_current_token(const std::string& name, Token token) const;
   Token current_token(const std::string& name) const;  // of the current grant; 0: there is none
-  const std::map<std::string, Lease>& all() const { return leases_; }
+  const std::map<std::string, Lease>& by_name() const { return leases_; }
   const LeaseLimits& limits() const { return limits_; }
 
   // Counts since this object was created, for metrics; not part of the replicated state.
--- a/registry/list_changes.cpp
+++ b/registry/list_changes.cpp
@@ -13,7 +13,7 @@
 // Drops whole revisions only, so that a watch never resumes in the middle of one command's changes.
 void compact(StateData& data) {
   auto& changes = data.changes;
-  while (changes.size() > data.limits.kept_changes && changes.front().revision != data.revision) {
+  while (changes.size() > data.limits.max_changes && changes.front().revision != data.revision) {
     data.compacted = changes.front().revision;
     while (changes.front().revision == data.compacted) changes.pop_front();
   }
--- a/registry/list_commands.cpp
+++ b/registry/list_commands.cpp
@@ -169,7 +169,7 @@
 
 ApplyResult apply_leader_elected(StateData& data, const Command& command) {
   if (command.number > 0) data.leases.set_max_ttl(static_cast<Millis>(command.number));
-  data.leases.leader_elected(data.now);
+  data.leases.on_leader_elected(data.now);
   return applied(data);
 }
 
--- a/registry/list_follower.h
+++ b/registry/list_follower.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "net/backoff.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "registry/list_guard.h"
 
 namespace turntally::registry {
@@ -19,9 +19,9 @@
 struct ListFollowerSettings {
   std::vector<net::tcp::endpoint> members;
   ListGuard::Limits guard;
-  int callers = 1;  // clients that follow the same members
+  int follower_count = 1;  // clients that follow the same members
   uint64_t seed = 0;
-  Millis late_ms = 4000;  // age of a member's contact to a majority at which it is left for another
+  Millis stale_after_ms = 4000;  // age of a member's contact to a majority at which it is left for another
 };
 
 class ListFollower {
@@ -30,9 +30,9 @@
     // Receives a list to apply, in discovery's format.
     std::function<void(const nlohmann::json& line)> on_list;
     // Called when all changes so far have been passed on.
-    std::function<void()> current;
+    std::function<void()> on_current;
     // Receives the state to save after a change; may be empty.
-    std::function<void(const nlohmann::json& saved)> keep;
+    std::function<void(const nlohmann::json& saved)> on_save;
   };
 
   // `saved`: the value last passed to `on_save`, or null. Its list is passed to `on_list` at once.
@@ -44,18 +44,18 @@
   void close();
   const ListGuard& guard() const { return guard_; }
   // Returns how often the follower has changed to another member.
-  uint64_t moves() const { return moves_; }
+  uint64_t member_change_count() const { return member_change_count_; }
   // Returns the milliseconds since a member that is not stale last confirmed the list; -1: never.
-  Millis heard_ms() const;
-  const net::tcp::endpoint& at() const { return settings_.members[member_index_]; }
+  Millis confirmation_age_ms() const;
+  const net::tcp::endpoint& member_address() const { return settings_.members[member_index_]; }
 
  private:
   void connect();
   void connect_in(std::chrono::milliseconds pause);
-  void ended(const net::Lines* stream, net::Lines::End reason);
-  bool line(const std::string& text);
-  void current();
-  void heed(const std::vector<nlohmann::json>& lines);
+  void on_stream_end(const net::JsonStream* stream, net::JsonStream::EndReason reason);
+  bool on_line(const std::string& text);
+  void on_confirmed();
+  void deliver(const std::vector<nlohmann::json>& lines);
   void tick();
 
   boost::asio::io_context& io_;
@@ -63,14 +63,14 @@
   Listener listener_;
   ListGuard guard_;
   net::Backoff backoff_;
-  boost::asio::steady_timer pause_;
-  boost::asio::steady_timer tick_;
-  std::shared_ptr<net::Lines> stream_;
+  boost::asio::steady_timer connect_timer_;
+  boost::asio::steady_timer tick_timer_;
+  std::shared_ptr<net::JsonStream> stream_;
   std::chrono::steady_clock::time_point connected_at_;  // start of the current watch
   bool confirmed_ = false;                              // the current watch has confirmed the list
   size_t member_index_ = 0;
   Millis confirmed_at_ms_ = -1;
-  uint64_t moves_ = 0;
+  uint64_t member_change_count_ = 0;
 };
 
 }  // namespace turntally::registry
--- a/registry/list_guard.cpp
+++ b/registry/list_guard.cpp
@@ -55,8 +55,9 @@
   if (identity_changed || members.empty()) return true;
   const auto removed = static_cast<size_t>(std::count_if(
       members_.begin(), members_.end(), [&](const auto& member) { return !members.contains(member.first); }));
-  return removed > std::max(limits_.removed_always,
-                            static_cast<size_t>(limits_.most_removed * static_cast<double>(members_.size())));
+  return removed >
+         std::max(limits_.removed_always_allowed,
+                  static_cast<size_t>(limits_.max_removed_share * static_cast<double>(members_.size())));
 }
 
 // Takes over the drains of known endpoints. An endpoint that is merely missing is not drained.
--- a/registry/list_guard.h
+++ b/registry/list_guard.h
@@ -20,9 +20,9 @@
 class ListGuard {
  public:
   struct Limits {
-    double most_removed = 0.3;  // of the known endpoints, removed by one list without confirmation
-    size_t removed_always = 2;  // this many removals never need confirmation
-    Millis hold_ms = 30'000;    // how long an unconfirmed list is held back
+    double max_removed_share = 0.3;     // of the known endpoints, removed by one list without confirmation
+    size_t removed_always_allowed = 2;  // this many removals never need confirmation
+    Millis hold_ms = 30'000;            // how long an unconfirmed list is held back
   };
   explicit ListGuard(Limits limits) : limits_(limits) {}
 
@@ -35,11 +35,11 @@
   // The revision to resume a watch from; -1: request the complete list.
   int64_t revision() const { return revision_; }
   const std::string& identity() const { return identity_; }
-  const std::map<std::string, nlohmann::json>& known() const { return members_; }  // endpoints by id
-  bool holds() const { return unconfirmed_.has_value(); }
+  const std::map<std::string, nlohmann::json>& members() const { return members_; }  // endpoints by id
+  bool has_unconfirmed_list() const { return unconfirmed_.has_value(); }
   // The source of the unconfirmed list, which must exist.
-  const std::string& holder() const { return unconfirmed_->source; }
-  uint64_t held_total() const { return unconfirmed_total_; }  // lists held back so far
+  const std::string& unconfirmed_source() const { return unconfirmed_->source; }
+  uint64_t unconfirmed_total() const { return unconfirmed_total_; }  // lists held back so far
 
   // Returns the accepted list, to be stored on disk.
   nlohmann::json save() const;
--- a/registry/list_json.cpp
+++ b/registry/list_json.cpp
@@ -40,7 +40,7 @@
   json members = json::array();
   for (const Change& change : changes) {
     members.push_back(change.entry ? member_json(*change.entry, change.entry->state)
-                                   : member_json(change.last, wire::kLeft));
+                                   : member_json(change.last_entry, wire::kLeft));
   }
   return list_object(state, false, std::move(members));
 }
--- a/registry/member_metrics.cpp
+++ b/registry/member_metrics.cpp
@@ -38,7 +38,7 @@
   for (size_t i = 0; i < metrics.commit_buckets.size(); ++i) {
     cumulative += metrics.commit_buckets[i];
     char bound[24] = "+Inf";
-    if (i < kCommitBounds.size()) std::snprintf(bound, sizeof(bound), "%g", kCommitBounds[i]);
+    if (i < kCommitBoundsSeconds.size()) std::snprintf(bound, sizeof(bound), "%g", kCommitBoundsSeconds[i]);
     text_ += "registry_commit_seconds_bucket{le=\"" + std::string(bound) + "\"} " +
              std::to_string(cumulative) + "\n";
   }
@@ -49,18 +49,18 @@
 void write_list_metrics(MetricsText& text, const State& state) {
   text.gauge("revision", state.revision());
   text.gauge("entries", state.entries().size());
-  text.gauge("registrations", state.registrations());
+  text.gauge("registrations", state.registration_count());
   text.gauge("expiry_held", state.expiry_paused() ? 1 : 0);
 }
 
 void write_lease_metrics(MetricsText& text, const State& state, const LeaseTable::Counts& counts) {
   uint64_t granted = 0;
   uint64_t queued = 0;
-  for (const auto& [name, lease] : state.leases().all()) {
+  for (const auto& [name, lease] : state.leases().by_name()) {
     granted += lease.holder.empty() ? 0 : 1;
     queued += lease.queue.size();
   }
-  text.gauge("leases", state.leases().all().size());
+  text.gauge("leases", state.leases().by_name().size());
   text.gauge("leases_held", granted);
   text.gauge("leases_waiting", queued);
   text.counter("leases_granted_total", counts.granted);
@@ -70,7 +70,7 @@
 }
 
 void write_member_metrics(MetricsText& text, const MemberState& member) {
-  text.gauge("source_seconds", static_cast<double>(member.state.source_ms()) / 1000);
+  text.gauge("source_seconds", static_cast<double>(member.state.max_source_age_ms()) / 1000);
   text.gauge("leads", member.is_leader() ? 1 : 0);
   text.gauge("heard_seconds", static_cast<double>(member.majority_contact_age_ms()) / 1000);
   const MemberMetrics& metrics = member.metrics;
@@ -80,22 +80,22 @@
   text.counter("reads_total", metrics.reads);
   text.counter("consistent_reads_total", metrics.consistent_reads);
   text.counter("redirected_total", metrics.redirected);
-  text.counter("writes_refused_total", metrics.refused);
-  text.counter("writes_unknown_total", metrics.unknown);
+  text.counter("writes_refused_total", metrics.writes_refused);
+  text.counter("writes_unknown_total", metrics.writes_unknown);
 }
 
 void write_watch_metrics(MetricsText& text, const WatchBroadcaster::Counts& counts) {
-  text.counter("watch_lines_encoded_total", counts.encoded);
-  text.counter("watch_lines_sent_total", counts.sent);
-  text.counter("watch_whole_lists_total", counts.whole);
-  text.counter("watch_ahead_total", counts.behind);
+  text.counter("watch_lines_encoded_total", counts.encoded_lines);
+  text.counter("watch_lines_sent_total", counts.sent_lines);
+  text.counter("watch_whole_lists_total", counts.sent_complete_lists);
+  text.counter("watch_ahead_total", counts.ahead_watches);
 }
 
 }  // namespace
 
 void MemberMetrics::observe_commit(double seconds) {
-  const auto bound = std::lower_bound(kCommitBounds.begin(), kCommitBounds.end(), seconds);
-  ++commit_buckets[static_cast<size_t>(bound - kCommitBounds.begin())];
+  const auto bound = std::lower_bound(kCommitBoundsSeconds.begin(), kCommitBoundsSeconds.end(), seconds);
+  ++commit_buckets[static_cast<size_t>(bound - kCommitBoundsSeconds.begin())];
   commit_sum_seconds += seconds;
 }
 
@@ -109,13 +109,13 @@
 std::string metrics_text(const MemberState& member, const WatchBroadcaster& broadcaster,
                          const net::HttpServer& server) {
   MetricsText text;
-  text.gauge("watchers", broadcaster.watchers());
+  text.gauge("watchers", broadcaster.watcher_count());
   text.gauge("connections", server.connections());
   write_list_metrics(text, member.state);
   write_lease_metrics(text, member.state, member.metrics.leases);
   write_member_metrics(text, member);
   write_watch_metrics(text, broadcaster.counts());
-  text.counter("watch_drops_total", server.unread());
+  text.counter("watch_drops_total", server.dropped_streams());
   text.commit_histogram(member.metrics);
   return std::move(text).text();
 }
--- a/registry/member_metrics.h
+++ b/registry/member_metrics.h
@@ -19,11 +19,12 @@
 class WatchBroadcaster;
 
 // Upper bounds of the buckets of commit times, in seconds. One more bucket without a bound follows.
-constexpr std::array kCommitBounds = {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0};
+constexpr std::array kCommitBoundsSeconds = {0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
+                                             0.1,   0.2,   0.5,   1.0,  2.0,  5.0};
 
 struct MemberMetrics {
-  uint64_t refused = 0;  // writes that were committed but not applied, and bad requests
-  uint64_t unknown = 0;  // writes that were answered with outcome unknown
+  uint64_t writes_refused = 0;  // writes that were committed but not applied, and bad requests
+  uint64_t writes_unknown = 0;  // writes that were answered with outcome unknown
   uint64_t redirected = 0;
   LeaseTable::Counts leases;  // counted as this member applies the log
   uint64_t reads = 0;
@@ -31,7 +32,7 @@
   uint64_t leader_changes = 0;
   uint64_t compactions = 0;  // of the changes from which watches can resume
   uint64_t log_reopened = 0;
-  std::array<uint64_t, kCommitBounds.size() + 1> commit_buckets{};
+  std::array<uint64_t, kCommitBoundsSeconds.size() + 1> commit_buckets{};
   double commit_sum_seconds = 0;
 
   void observe_commit(double seconds);
--- a/registry/member_state.cpp
+++ b/registry/member_state.cpp
@@ -31,8 +31,8 @@
 std::optional<Error> MemberState::write_refusal() const {
   if (replica == nullptr) return NotInLog();
   if (!log_failure.empty()) return LogClosed("this member's log is closed: " + log_failure);
-  if (!has_free_space(config.folder, config.free_mb)) {
-    return NoRoom("less than " + std::to_string(config.free_mb) + " MB free in " + config.folder);
+  if (!has_free_space(config.folder, config.min_free_mb)) {
+    return NoRoom("less than " + std::to_string(config.min_free_mb) + " MB free in " + config.folder);
   }
   return {};
 }
@@ -47,11 +47,11 @@
 }
 
 std::string MemberState::leader_http_address() const {
-  return raft.leader == 0 ? "" : http_address(member_number(raft.leader));
+  return raft.leader_id == 0 ? "" : http_address(member_number(raft.leader_id));
 }
 
-net::HttpReply MemberState::reply_head() const {
-  net::HttpReply reply;
+net::HttpResponse MemberState::reply_head() const {
+  net::HttpResponse reply;
   reply.fields["X-Registry-Revision"] = std::to_string(state.revision());
   reply.fields["X-Registry-Identity"] = state.identity();
   reply.fields[wire::kMajorityContactAgeField] = std::to_string(majority_contact_age_ms());
--- a/registry/member_state.h
+++ b/registry/member_state.h
@@ -21,9 +21,9 @@
 
 // After this long without contact to a majority, or without a confirmation by the source of a mirrored list,
 // a member tells its watchers that its list is stale.
-constexpr int64_t kMajorityContactTimeout = 3000;
+constexpr int64_t kMajorityContactTimeoutMs = 3000;
 
-using Responder = std::shared_ptr<net::HttpAnswer>;
+using Responder = std::shared_ptr<net::HttpResponder>;
 
 struct MemberState {
   MemberState(boost::asio::io_context& io_context, Config configuration,
@@ -39,7 +39,7 @@
   std::string http_address(MemberNumber number) const;
   std::string leader_http_address() const;
   // Returns a reply with status 200 and the header fields that tell how current this member's list is.
-  net::HttpReply reply_head() const;
+  net::HttpResponse reply_head() const;
 
   boost::asio::io_context& io;
   const Config config;
--- a/registry/membership_requests.cpp
+++ b/registry/membership_requests.cpp
@@ -33,7 +33,7 @@
   }
   if (request.method == "PUT" || request.method == "POST") return handle_put(request, responder, *number);
   if (request.method != "DELETE") return responder->reply(error_reply(NoSuchMethod(request.method)));
-  writes_.at_leader(request, responder, [&] { remove(request, responder, *number); });
+  writes_.run_at_leader(request, responder, [&] { remove(request, responder, *number); });
 }
 
 void MembershipRequests::handle_put(const HttpRequest& request, const Responder& responder,
@@ -46,7 +46,7 @@
     return writes_.submit(request, responder, member_command(number, address.http));
   }
   net::parse_address(address.raft);
-  writes_.at_leader(request, responder, [&] { join(address, responder); });
+  writes_.run_at_leader(request, responder, [&] { join(address, responder); });
 }
 
 bool MembershipRequests::is_known(MemberNumber number) const {
@@ -82,7 +82,7 @@
 }
 
 void MembershipRequests::remove(const HttpRequest& request, const Responder& responder, MemberNumber number) {
-  if (member_number(member_.raft.leader) == number) {
+  if (member_number(member_.raft.leader_id) == number) {
     if (member_.raft.members.size() < 2) return responder->reply(error_reply(LastMember()));
     return step_down(responder);
   }
--- a/registry/mirroring.cpp
+++ b/registry/mirroring.cpp
@@ -59,7 +59,7 @@
   }
   data.sources[command.text] = {command.number, data.now, command.fence_token, command.serial};
   for (const Mutation& mutation : command.mutations) mirror_entry(data, revision, command.text, mutation);
-  if (command.whole) remove_unnamed_entries(data, revision, command);
+  if (command.is_complete) remove_unnamed_entries(data, revision, command);
   return {ApplyResult::Kind::kApplied, data.revision, ""};
 }
 
--- a/registry/raft_log.cpp
+++ b/registry/raft_log.cpp
@@ -81,7 +81,7 @@
 }
 
 int RaftLog::open_transport() {
-  const std::string& address = loop_.settings().listen;
+  const std::string& address = loop_.settings().listen_address;
   int failed = raft_uv_tcp_init(&transport_, &uv_loop_);
   if (failed != 0) return failed;
   if (!address.empty()) failed = raft_uv_tcp_set_bind_address(&transport_, address.c_str());
@@ -239,7 +239,7 @@
   raft_id leader = 0;
   const char* address = nullptr;
   raft_leader(&raft_, &leader, &address);
-  status.leader = leader;
+  status.leader_id = leader;
   status.term = raft_.current_term;
   status.last_index = raft_last_index(&raft_);
   status.applied_index = raft_last_applied(&raft_);
--- a/registry/read_requests.h
+++ b/registry/read_requests.h
@@ -19,22 +19,23 @@
       : member_(member), writes_(writes), broadcaster_(broadcaster) {}
 
   // Serves GET /api/targets: the list, or a watch on it with stream=1.
-  void list(const net::HttpRequest& request, const Responder& responder);
+  void read_list(const net::HttpRequest& request, const Responder& responder);
 
   // Calls `read` once this member's state is as current as the request demands; replies with a redirect or an
   // error if that cannot be ensured here.
-  void when_current(const net::HttpRequest& request, const Responder& responder, std::function<void()> read);
+  void run_when_current(const net::HttpRequest& request, const Responder& responder,
+                        std::function<void()> read);
 
  private:
   using BarrierCallback = std::function<void(const ProposalResult&)>;
 
-  void watch(const net::HttpRequest& request, const Responder& responder);
+  void start_watch(const net::HttpRequest& request, const Responder& responder);
   void propose_barrier();
 
   MemberState& member_;
   WriteRequests& writes_;
   WatchBroadcaster& broadcaster_;
-  std::vector<BarrierCallback> waiting_;  // reads to serve after the next barrier
+  std::vector<BarrierCallback> barrier_waiters_;  // reads to serve after the next barrier
   bool barrier_in_flight_ = false;
 };
 
--- a/registry/replica.h
+++ b/registry/replica.h
@@ -29,13 +29,13 @@
 
 struct ReplicaSettings {
   uint64_t id = 0;
-  std::string address;  // at which the other members reach this one
-  std::string listen;   // to bind to; empty: `address`
-  std::string folder;   // must exist
+  std::string address;         // at which the other members reach this one
+  std::string listen_address;  // to bind to; empty: `address`
+  std::string folder;          // must exist
   // The members of a new log; empty: the member joins an existing log or already has one.
   std::vector<Peer> bootstrap_members;
   std::map<std::string, std::string> dial_overrides;  // members' addresses, and those to connect to instead
-  Limits limits;
+  StateLimits limits;
   // In milliseconds. A leader that has no contact for one to two times this long is replaced.
   unsigned election_ms = 500;
   unsigned heartbeat_ms = 50;
@@ -60,7 +60,7 @@
 struct RaftStatus {
   enum class Role { kDown, kFollower, kCandidate, kLeader };
   Role role = Role::kDown;
-  uint64_t leader = 0;  // 0: no leader is known
+  uint64_t leader_id = 0;  // 0: no leader is known
   uint64_t term = 0;
   uint64_t last_index = 0;     // of the log
   uint64_t applied_index = 0;  // of the last applied entry
--- a/registry/replicated_state.h
+++ b/registry/replicated_state.h
@@ -15,7 +15,7 @@
 class ReplicatedState {
  public:
   // `hash_interval`: log entries between two hashes.
-  ReplicatedState(const Limits& limits, uint64_t hash_interval)
+  ReplicatedState(const StateLimits& limits, uint64_t hash_interval)
       : state_(limits), hash_interval_(hash_interval) {}
 
   // Applies the entry at `index`; its result is last_result().
--- a/registry/service.cpp
+++ b/registry/service.cpp
@@ -83,9 +83,9 @@
   ReplicaSettings settings;
   settings.id = member_.id;
   settings.address = config.self().raft;
-  settings.listen = config.raft_listen;
+  settings.listen_address = config.raft_listen;
   settings.folder = config.folder;
-  settings.dial_overrides = config.dial;
+  settings.dial_overrides = config.dial_overrides;
   settings.election_ms = config.election_ms;
   settings.heartbeat_ms = config.heartbeat_ms;
   if (bootstrap) {
@@ -114,7 +114,7 @@
   member_.last_applied_us = net::steady_now();
   State& state = member_.state;
   const Revision revision = state.revision();
-  const Revision compacted = state.compacted();
+  const Revision compacted = state.compacted_revision();
   const LeaseTable::Counts lease_counts = state.leases().counts();
   const ApplyResult result = state.apply(index, command);
   member_.metrics.add_lease_counts(lease_counts, state.leases().counts());
@@ -123,23 +123,23 @@
   // clock would lag behind the log's time for as long as the log is old: no time would pass and no lease
   // would expire.
   if (member_.is_leader()) member_.clock.advance_to(state.now());
-  if (state.compacted() != compacted) ++member_.metrics.compactions;
-  if (state.revision() != revision) broadcaster_.changed();
+  if (state.compacted_revision() != compacted) ++member_.metrics.compactions;
+  if (state.revision() != revision) broadcaster_.on_list_changed();
 }
 
 void Service::on_restored(uint64_t index, State state) {
   if (index <= member_.applied_index) return;
   member_.applied_index = index;
   member_.state = std::move(state);
-  broadcaster_.changed();
+  broadcaster_.on_list_changed();
 }
 
 void Service::on_status_changed(const RaftStatus& status) {
   const RaftStatus before = std::exchange(member_.raft, status);
   if (status.role != RaftStatus::Role::kDown) member_.log_failure.clear();
-  if (before.leader != status.leader || (before.role != status.role && member_.is_leader())) {
-    if (status.leader != 0) ++member_.metrics.leader_changes;
-    log::info("leader", "id", status.leader, "term", status.term, "role", role_name(status.role));
+  if (before.leader_id != status.leader_id || (before.role != status.role && member_.is_leader())) {
+    if (status.leader_id != 0) ++member_.metrics.leader_changes;
+    log::info("leader", "id", status.leader_id, "term", status.term, "role", role_name(status.role));
   }
   const bool led_before = before.role == RaftStatus::Role::kLeader && before.term == status.term;
   if (member_.is_leader() && !led_before) leader_duties_.on_leader_elected();
--- a/registry/snapshot.cpp
+++ b/registry/snapshot.cpp
@@ -13,12 +13,12 @@
 constexpr int kFormatWithoutLeases = 1;  // and without sources
 constexpr int kFormat = 2;
 
-json encode_limits(const Limits& limits) {
-  return {limits.kept_changes,     limits.kept_requests,     limits.leave_ms,
-          limits.expiry_window_ms, limits.max_expired_share, limits.expired_always_allowed};
+json encode_limits(const StateLimits& limits) {
+  return {limits.max_changes,      limits.max_request_results, limits.leaving_ms,
+          limits.expiry_window_ms, limits.max_expired_share,   limits.expired_always_allowed};
 }
 
-Limits decode_limits(const json& fields) {
+StateLimits decode_limits(const json& fields) {
   return {fields.at(0), fields.at(1), fields.at(2), fields.at(3), fields.at(4), fields.at(5)};
 }
 
@@ -41,7 +41,7 @@
   json changes = json::array();
   for (const Change& change : data.changes) {
     changes.push_back(
-        {change.revision, change.id, encode_optional_entry(change.entry), encode_entry(change.last)});
+        {change.revision, change.id, encode_optional_entry(change.entry), encode_entry(change.last_entry)});
   }
   return changes;
 }
--- a/registry/state.cpp
+++ b/registry/state.cpp
@@ -15,7 +15,7 @@
   if (idempotency_key.empty()) return;
   data.request_results[idempotency_key] = result;
   data.request_order.push_back(idempotency_key);
-  while (data.request_order.size() > data.limits.kept_requests) {
+  while (data.request_order.size() > data.limits.max_request_results) {
     data.request_results.erase(data.request_order.front());
     data.request_order.pop_front();
   }
@@ -24,20 +24,21 @@
 ApplyResult State::apply(uint64_t index, const Command& command) {
   const Revision revision = data_.revision_offset + index;
   data_.now = std::max(data_.now, command.now_ms);  // a new leader's clock may be behind the log
-  if (!command.request.empty()) {
-    const auto earlier = data_.request_results.find(command.request);
+  if (!command.idempotency_key.empty()) {
+    const auto earlier = data_.request_results.find(command.idempotency_key);
     if (earlier != data_.request_results.end()) return earlier->second;
   }
-  if (!command.fence.empty()) {
+  if (!command.fence_lease.empty()) {
     data_.leases.tick(revision, data_.now);  // an expired grant must not pass the fence
-    if (!data_.leases.holds(command.fence, command.fence_token)) {
+    if (!data_.leases.is_current_token(command.fence_lease, command.fence_token)) {
       // The result is not remembered, as the same request may be repeated under another grant.
-      return {ApplyResult::Kind::kFenced, data_.leases.current_token(command.fence), command.fence};
+      return {ApplyResult::Kind::kFenced, data_.leases.current_token(command.fence_lease),
+              command.fence_lease};
     }
   }
   ApplyResult result = dispatch(index, revision, command);
   // A lease call's result is not remembered: the call is safe to repeat and must see the current table.
-  if (command.kind != Command::Kind::kLease) remember_result(data_, command.request, result);
+  if (command.kind != Command::Kind::kLease) remember_result(data_, command.idempotency_key, result);
   return result;
 }
 
@@ -67,7 +68,7 @@
   return {};
 }
 
-Millis State::source_ms() const {
+Millis State::max_source_age_ms() const {
   Millis oldest = -1;
   for (const auto& [name, source] : data_.sources) oldest = std::max(oldest, data_.now - source.confirmed_ms);
   return oldest;
--- a/registry/state.h
+++ b/registry/state.h
@@ -22,21 +22,21 @@
 
 class State {
  public:
-  explicit State(Limits limits = {}) { data_.limits = limits; }
+  explicit State(StateLimits limits = {}) { data_.limits = limits; }
 
   // Applies commands in the log's order; `index` grows with each call. kConflict and kFenced change nothing.
   ApplyResult apply(uint64_t index, const Command& command);
 
-  Revision revision() const { return data_.revision; }    // of the last change
-  Revision compacted() const { return data_.compacted; }  // changes up to it are no longer kept
+  Revision revision() const { return data_.revision; }             // of the last change
+  Revision compacted_revision() const { return data_.compacted; }  // changes up to it are no longer kept
   const std::string& identity() const { return data_.identity; }
   const std::map<std::string, Entry>& entries() const { return data_.entries; }
   const std::map<uint64_t, std::string>& members() const { return data_.members; }  // their HTTP addresses
   Millis now() const { return data_.now; }  // the newest time in the log
-  size_t registrations() const { return data_.registrations.size(); }
+  size_t registration_count() const { return data_.registrations.size(); }
   const std::map<std::string, Source>& sources() const { return data_.sources; }
   // Returns the milliseconds since the least recently confirmed source was confirmed; -1: there is no source.
-  Millis source_ms() const;
+  Millis max_source_age_ms() const;
   // Ids whose entries an operator had drained when they left: they are drained again if they reappear.
   const std::map<std::string, Revision>& drains() const { return data_.drains; }
   const LeaseTable& leases() const { return data_.leases; }
@@ -44,7 +44,9 @@
 
   // Returns the newest change of each id after `revision`, in order of revision; nothing if that revision has
   // been compacted or does not exist yet, so that the complete list is needed.
-  std::optional<std::vector<Change>> since(Revision revision) const { return changes_since(data_, revision); }
+  std::optional<std::vector<Change>> changes_after(Revision revision) const {
+    return changes_since(data_, revision);
+  }
 
   std::string snapshot() const;                    // encoded as in snapshot.h
   static State restore(const std::string& bytes);  // throws std::exception
--- a/registry/state_data.h
+++ b/registry/state_data.h
@@ -15,21 +15,21 @@
 
 namespace turntally::registry {
 
-struct Limits {
-  size_t kept_changes = 10'000;       // kept for watches to resume from; older ones are compacted
-  size_t kept_requests = 10'000;      // kept for clients that may repeat a request
-  Millis leave_ms = 10'000;           // how long an expired entry is listed as leaving before it is removed
-  Millis expiry_window_ms = 10'000;   // the span to which the two limits below apply
-  double max_expired_share = 0.3;     // share of the registrations that may expire within the window
-  size_t expired_always_allowed = 2;  // this many may always expire within it
-  bool operator==(const Limits&) const = default;
+struct StateLimits {
+  size_t max_changes = 10'000;          // kept for watches to resume from; older ones are compacted
+  size_t max_request_results = 10'000;  // kept for clients that may repeat a request
+  Millis leaving_ms = 10'000;           // how long an expired entry is listed as leaving before it is removed
+  Millis expiry_window_ms = 10'000;     // the span to which the two limits below apply
+  double max_expired_share = 0.3;       // share of the registrations that may expire within the window
+  size_t expired_always_allowed = 2;    // this many may always expire within it
+  bool operator==(const StateLimits&) const = default;
 };
 
 struct Change {
   Revision revision = 0;
   std::string id;
   std::optional<Entry> entry;  // absent: the entry was removed
-  Entry last;                  // of a removed entry: its last content
+  Entry last_entry;            // of a removed entry: its last content
   bool operator==(const Change&) const = default;
 };
 
@@ -43,7 +43,7 @@
 };
 
 struct StateData {
-  Limits limits;
+  StateLimits limits;
   Revision revision_offset = 0;                 // added to a log index to get a revision
   Revision revision = 0;                        // of the last change
   Revision compacted = 0;                       // changes up to it are no longer kept
--- a/registry/status_report.cpp
+++ b/registry/status_report.cpp
@@ -20,14 +20,15 @@
                        {"raft", peer.address},
                        {"http", member.http_address(number)},
                        {"voter", peer.voter},
-                       {"leader", peer.id == member.raft.leader}});
+                       {"leader", peer.id == member.raft.leader_id}});
   }
   return members;
 }
 
 json leases_report(const State& state) {
   json leases = json::array();
-  for (const auto& [name, lease] : state.leases().all()) leases.push_back(lease_status(lease, state.now()));
+  for (const auto& [name, lease] : state.leases().by_name())
+    leases.push_back(lease_status(lease, state.now()));
   return leases;
 }
 
@@ -54,18 +55,18 @@
   return {{"member", member.config.member},
           {"id", member.id},
           {"role", role_name(member.raft.role)},
-          {"leader", member_number(member.raft.leader)},
+          {"leader", member_number(member.raft.leader_id)},
           {"term", member.raft.term},
           {"last", readable_last_index(member)},
           {"applied", member.applied_index},
           {"identity", state.identity()},
           {"revision", state.revision()},
-          {"compacted", state.compacted()},
+          {"compacted", state.compacted_revision()},
           {"entries", state.entries().size()},
-          {"registrations", state.registrations()},
+          {"registrations", state.registration_count()},
           {wire::kExpiryPaused, state.expiry_paused()},
           {wire::kMajorityContactAge, member.majority_contact_age_ms()},
-          {"watchers", broadcaster.watchers()},
+          {"watchers", broadcaster.watcher_count()},
           {"refusal", refusal ? refusal->what() : ""},
           {"leases", leases_report(state)},
           {"sources", sources_report(state)},
@@ -74,9 +75,9 @@
 
 json staleness_line(const MemberState& member) {
   const int64_t contact_age = member.majority_contact_age_ms();
-  const bool stale = contact_age < 0 || contact_age >= kMajorityContactTimeout;
-  const Millis source_age = member.state.source_ms();
-  const bool source_stale = source_age > kMajorityContactTimeout;
+  const bool stale = contact_age < 0 || contact_age >= kMajorityContactTimeoutMs;
+  const Millis source_age = member.state.max_source_age_ms();
+  const bool source_stale = source_age > kMajorityContactTimeoutMs;
   if (!stale && !source_stale) return {};
   json line = {{"revision", member.state.revision()},
                {"complete", false},
--- a/registry/target_requests.cpp
+++ b/registry/target_requests.cpp
@@ -19,7 +19,7 @@
   mutation.id = json_field<std::string>(object, "id", "");
   if (mutation.id.empty()) throw std::invalid_argument("items: each must have an id");
   if (object.contains("entry") && !object["entry"].is_null()) {
-    mutation.entry = entry_of(object["entry"], mutation.id);
+    mutation.entry = parse_entry(object["entry"], mutation.id);
   }
   if (object.contains("if_match")) mutation.if_match = json_field<Revision>(object, "if_match", 0);
   return mutation;
@@ -36,7 +36,7 @@
                           wire::kWeight, "up_since_ms"}) {
     if (object.contains(key)) entry_fields[key] = object[key];
   }
-  Entry entry = entry_of(entry_fields, "");
+  Entry entry = parse_entry(entry_fields, "");
   std::string id = entry.id;
   return {std::move(id), std::move(entry), {}};
 }
@@ -60,7 +60,7 @@
 
 Command parse_target_put(const HttpRequest& request, const std::string& id) {
   Command command = make_command(Command::Kind::kWrite);
-  command.mutations.push_back({id, entry_of(parse_object(request.body), id), parse_precondition(request)});
+  command.mutations.push_back({id, parse_entry(parse_object(request.body), id), parse_precondition(request)});
   return command;
 }
 
@@ -71,7 +71,7 @@
 }
 
 Command parse_registration(const std::string& body, const std::string& id) {
-  const Entry entry = entry_of(parse_object(body), id);
+  const Entry entry = parse_entry(parse_object(body), id);
   if (entry.ttl_ms <= 0) throw std::invalid_argument("ttl_ms: a registration needs one");
   Command command = make_command(Command::Kind::kRegister);
   command.mutations.push_back({id, entry, {}});
@@ -95,7 +95,7 @@
     throw std::invalid_argument("source must have 1 to 200 characters");
   }
   command.number = json_field<Revision>(body, "revision", 0);
-  command.whole = json_field<bool>(body, "complete", false);
+  command.is_complete = json_field<bool>(body, "complete", false);
   command.serial = json_field<uint64_t>(body, "serial", 0);
   const json members = json_field<json>(body, "members", json::array());
   if (!members.is_array()) throw std::invalid_argument("members: is no list");
--- a/registry/watch_broadcaster.cpp
+++ b/registry/watch_broadcaster.cpp
@@ -25,14 +25,14 @@
   for (Watcher& watcher : watchers_) watcher.stream->close();
 }
 
-void WatchBroadcaster::watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head,
-                             int64_t index, const std::string& identity) {
+void WatchBroadcaster::add_watch(const std::shared_ptr<net::HttpResponder>& answer,
+                                 const net::HttpResponse& head, int64_t index, const std::string& identity) {
   const auto watcher = watchers_.emplace(watchers_.end());
   watcher->slot = next_slot_++ % kSlots;
   watcher->known_revision = index < 0 ? 0 : static_cast<Revision>(index);
   watcher->needs_complete_list = index < 0 || (!identity.empty() && identity != state_.identity());
   if (!watcher->needs_complete_list && watcher->known_revision > state_.revision()) {
-    ++counts_.behind;
+    ++counts_.ahead_watches;
     watcher->ahead_until = std::chrono::steady_clock::now() + kAheadTimeout;
   }
   watcher->stream = answer->stream(
@@ -45,7 +45,7 @@
 
 // Sends the changes that the watcher does not have yet, if its connection is idle.
 void WatchBroadcaster::advance(Watcher& watcher) {
-  if (watcher.stream == nullptr || !watcher.stream->idle()) return;
+  if (watcher.stream == nullptr || !watcher.stream->is_idle()) return;
   if (!watcher.needs_complete_list && watcher.known_revision > state_.revision()) {
     if (std::chrono::steady_clock::now() < watcher.ahead_until) return;
     watcher.needs_complete_list = true;
@@ -55,20 +55,21 @@
       watcher.known_revision == state_.revision())
     return;
   watcher.awaits_first_line = false;
-  net::Shared chunk = watcher.needs_complete_list ? nullptr : encode_changes_after(watcher.known_revision);
+  net::SharedBytes chunk =
+      watcher.needs_complete_list ? nullptr : encode_changes_after(watcher.known_revision);
   if (chunk == nullptr) {
-    whole();
+    complete_list_line();
     chunk = complete_list_chunk_;
-    ++counts_.whole;
+    ++counts_.sent_complete_lists;
   }
   watcher.needs_complete_list = false;
   watcher.known_revision = state_.revision();
   watcher.notified = true;
-  ++counts_.sent;
+  ++counts_.sent_lines;
   watcher.stream->write(std::move(chunk));
 }
 
-void WatchBroadcaster::changed() {
+void WatchBroadcaster::on_list_changed() {
   if (std::exchange(advance_scheduled_, true)) return;
   boost::asio::post(io_, [this, alive = alive_] {
     if (*alive) advance_all();
@@ -80,34 +81,34 @@
   for (Watcher& watcher : watchers_) advance(watcher);
 }
 
-net::Shared WatchBroadcaster::encode_changes_after(Revision revision) {
+net::SharedBytes WatchBroadcaster::encode_changes_after(Revision revision) {
   if (encoded_at_ != state_.revision()) {
     changes_after_.clear();
     encoded_at_ = state_.revision();
   }
   const auto it = changes_after_.find(revision);
   if (it != changes_after_.end()) return it->second;
-  net::Shared chunk;
-  if (const auto changes = state_.since(revision)) {
+  net::SharedBytes chunk;
+  if (const auto changes = state_.changes_after(revision)) {
     chunk = std::make_shared<std::string>(net::http_chunk(changed_members(state_, *changes).dump() + "\n"));
-    ++counts_.encoded;
+    ++counts_.encoded_lines;
   }
   return changes_after_[revision] = chunk;
 }
 
-net::Shared WatchBroadcaster::whole() {
+net::SharedBytes WatchBroadcaster::complete_list_line() {
   if (complete_list_line_ == nullptr || complete_list_at_ != state_.revision()) {
     complete_list_at_ = state_.revision();
     complete_list_line_ = std::make_shared<std::string>(complete_list(state_).dump() + "\n");
     complete_list_chunk_ = std::make_shared<std::string>(net::http_chunk(*complete_list_line_));
-    ++counts_.encoded;
+    ++counts_.encoded_lines;
   }
   return complete_list_line_;
 }
 
 void WatchBroadcaster::send_heartbeats() {
-  static const net::Shared kEmptyLine = std::make_shared<std::string>(net::http_chunk("\n"));
-  net::Shared line = kEmptyLine;
+  static const net::SharedBytes kEmptyLine = std::make_shared<std::string>(net::http_chunk("\n"));
+  net::SharedBytes line = kEmptyLine;
   if (const nlohmann::json staleness = staleness_line_(); !staleness.is_null()) {
     line = std::make_shared<std::string>(net::http_chunk(staleness.dump() + "\n"));
   }
@@ -115,7 +116,7 @@
   for (Watcher& watcher : watchers_) {
     if (watcher.slot != current_slot_) continue;
     advance(watcher);
-    if (!std::exchange(watcher.notified, false) && watcher.stream->idle()) watcher.stream->write(line);
+    if (!std::exchange(watcher.notified, false) && watcher.stream->is_idle()) watcher.stream->write(line);
   }
   heartbeat_timer_.expires_after(kHeartbeatInterval);
   heartbeat_timer_.async_wait([this](const boost::system::error_code& error) {
--- a/registry/watch_broadcaster.h
+++ b/registry/watch_broadcaster.h
@@ -25,17 +25,17 @@
 
   // Starts a watch at revision `index`, the one that the client has; -1: none. `identity` is of the list that
   // the client has; empty: not known.
-  void watch(const std::shared_ptr<net::HttpAnswer>& answer, const net::HttpReply& head, int64_t index,
-             const std::string& identity);
-  void changed();       // sends in the next turn of the loop, so that several changes go out together
-  net::Shared whole();  // the list as a line, encoded once for each revision
+  void add_watch(const std::shared_ptr<net::HttpResponder>& answer, const net::HttpResponse& head,
+                 int64_t index, const std::string& identity);
+  void on_list_changed();  // sends in the next turn of the loop, so that several changes go out together
+  net::SharedBytes complete_list_line();  // the list as a line, encoded once for each revision
 
-  size_t watchers() const { return watchers_.size(); }
+  size_t watcher_count() const { return watchers_.size(); }
   struct Counts {
-    uint64_t encoded = 0;
-    uint64_t sent = 0;    // to all watchers
-    uint64_t whole = 0;   // of the sent lines
-    uint64_t behind = 0;  // watches that started ahead of this member's revision
+    uint64_t encoded_lines = 0;
+    uint64_t sent_lines = 0;           // to all watchers
+    uint64_t sent_complete_lists = 0;  // of the sent lines
+    uint64_t ahead_watches = 0;        // watches that started ahead of this member's revision
   };
   const Counts& counts() const { return counts_; }
 
@@ -55,7 +55,7 @@
   void advance_all();
   void advance(Watcher& watcher);
   void send_heartbeats();
-  net::Shared encode_changes_after(Revision revision);
+  net::SharedBytes encode_changes_after(Revision revision);
 
   boost::asio::io_context& io_;
   const State& state_;
@@ -66,10 +66,11 @@
   size_t current_slot_ = 0;
   bool advance_scheduled_ = false;
   Revision encoded_at_ = 0;
-  std::map<Revision, net::Shared> changes_after_;  // encoded changes from each revision up to encoded_at_
+  std::map<Revision, net::SharedBytes>
+      changes_after_;  // encoded changes from each revision up to encoded_at_
   Revision complete_list_at_ = 0;
-  net::Shared complete_list_line_;
-  net::Shared complete_list_chunk_;
+  net::SharedBytes complete_list_line_;
+  net::SharedBytes complete_list_chunk_;
   Counts counts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/registry/write_requests.cpp
+++ b/registry/write_requests.cpp
@@ -12,8 +12,8 @@
 namespace turntally::registry {
 namespace {
 
-using net::HttpReply;
 using net::HttpRequest;
+using net::HttpResponse;
 using nlohmann::json;
 
 constexpr size_t kMaxInFlight = 4096;
@@ -21,24 +21,24 @@
 constexpr const char* kLeaseTokenField = "x-lease-token";
 
 void read_idempotency_key(const HttpRequest& request, Command& command) {
-  command.request = header_field(request, "idempotency-key");
-  if (command.request.size() > kMaxNameLength) {
+  command.idempotency_key = header_field(request, "idempotency-key");
+  if (command.idempotency_key.size() > kMaxNameLength) {
     throw std::invalid_argument("Idempotency-Key: over 200 characters");
   }
 }
 
 void read_fence(const HttpRequest& request, Command& command) {
-  command.fence = header_field(request, kLeaseField);
+  command.fence_lease = header_field(request, kLeaseField);
   const auto token = parse_number(header_field(request, kLeaseTokenField));
   const bool malformed =
-      command.fence.empty() ? request.fields.contains(kLeaseTokenField) : !token || *token == 0;
+      command.fence_lease.empty() ? request.fields.contains(kLeaseTokenField) : !token || *token == 0;
   if (malformed) {
     throw std::invalid_argument("X-Lease: needs an X-Lease-Token that is a number, and it X-Lease");
   }
   command.fence_token = token.value_or(0);
 }
 
-HttpReply result_reply(const MemberState& member, const Command& command, const ApplyResult& result) {
+HttpResponse result_reply(const MemberState& member, const Command& command, const ApplyResult& result) {
   if (result.lease) {
     return lease_result_reply(member.reply_head(), command.lease, *result.lease, result.revision);
   }
@@ -56,7 +56,7 @@
     case ApplyResult::Kind::kApplied:
       break;
   }
-  HttpReply reply = member.reply_head();
+  HttpResponse reply = member.reply_head();
   reply.body = body.dump() + "\n";
   return reply;
 }
@@ -70,7 +70,7 @@
   net::Time started_us = net::steady_now();
   bool replied = false;
 
-  void reply(HttpReply reply) {
+  void reply(HttpResponse reply) {
     if (std::exchange(replied, true)) return;
     deadline.cancel();
     responder->reply(std::move(reply));
@@ -79,8 +79,8 @@
 
 bool WriteRequests::at_limit() const { return in_flight_ >= kMaxInFlight; }
 
-void WriteRequests::at_leader(const HttpRequest& request, const Responder& responder,
-                              const std::function<void()>& action) {
+void WriteRequests::run_at_leader(const HttpRequest& request, const Responder& responder,
+                                  const std::function<void()>& action) {
   if (member_.is_leader()) {
     if (const auto refusal = member_.write_refusal()) return responder->reply(error_reply(*refusal));
     return action();
@@ -91,7 +91,7 @@
     return responder->reply(error_reply(refusal ? *refusal : NoLeader("no leader is known")));
   }
   ++member_.metrics.redirected;
-  HttpReply reply = member_.reply_head();
+  HttpResponse reply = member_.reply_head();
   reply.status = 307;
   reply.fields["Location"] = "http://" + leader + request.target;
   responder->reply(std::move(reply));
@@ -104,7 +104,7 @@
     read_idempotency_key(request, command);
     read_fence(request, command);
   }
-  at_leader(request, responder, [&] { propose(responder, std::move(command)); });
+  run_at_leader(request, responder, [&] { propose(responder, std::move(command)); });
 }
 
 void WriteRequests::propose(const Responder& responder, Command command) {
@@ -112,12 +112,12 @@
   ++in_flight_;
   command.now_ms = member_.clock.read();
   auto write = std::make_shared<PendingWrite>(PendingWrite{responder, boost::asio::steady_timer(member_.io)});
-  write->deadline.expires_after(std::chrono::milliseconds(member_.config.write_ms));
+  write->deadline.expires_after(std::chrono::milliseconds(member_.config.write_timeout_ms));
   write->deadline.async_wait([this, write](const boost::system::error_code& error) {
     if (error || write->replied) return;
-    ++member_.metrics.unknown;
+    ++member_.metrics.writes_unknown;
     write->reply(error_reply(WriteUnknown("no majority of the members answered in " +
-                                          std::to_string(member_.config.write_ms) + " ms")));
+                                          std::to_string(member_.config.write_timeout_ms) + " ms")));
   });
   member_.replica->propose(command, [this, write, command](const ProposalResult& result) {
     --in_flight_;
@@ -128,11 +128,11 @@
 void WriteRequests::on_committed(PendingWrite& write, const Command& command, const ProposalResult& result) {
   MemberMetrics& metrics = member_.metrics;
   if (result.outcome != ProposalOutcome::kDone) {
-    metrics.unknown += result.outcome == ProposalOutcome::kUnknown ? 1 : 0;
+    metrics.writes_unknown += result.outcome == ProposalOutcome::kUnknown ? 1 : 0;
     return write.reply(error_reply(proposal_error(result)));
   }
   metrics.observe_commit(static_cast<double>(net::steady_now() - write.started_us) / 1e6);
-  if (result.applied.kind != ApplyResult::Kind::kApplied) ++metrics.refused;
+  if (result.applied.kind != ApplyResult::Kind::kApplied) ++metrics.writes_refused;
   write.reply(result_reply(member_, command, result.applied));
 }
 
--- a/registry/write_requests.h
+++ b/registry/write_requests.h
@@ -19,8 +19,8 @@
   void submit(const net::HttpRequest& request, const Responder& responder, Command command);
 
   // Runs `action` at once if this member leads and takes writes; replies with a redirect or an error if not.
-  void at_leader(const net::HttpRequest& request, const Responder& responder,
-                 const std::function<void()>& action);
+  void run_at_leader(const net::HttpRequest& request, const Responder& responder,
+                     const std::function<void()>& action);
 
   bool at_limit() const;  // no further write is accepted
 
--- a/relay/call_batches.cpp
+++ b/relay/call_batches.cpp
@@ -4,18 +4,18 @@
 
 namespace turntally::relay {
 
-std::vector<Call> CallBatches::add(Call call, size_t max_messages) {
-  std::vector<Call>& batch = batches_[call.endpoint];
-  size_t bytes = bundle_line(call).size();
-  for (const Call& other : batch) bytes += bundle_line(other).size();
-  std::vector<Call> full;
-  if (batch.size() == max_messages || (!batch.empty() && bytes > kMostBundle)) full.swap(batch);
+std::vector<AttemptRequest> CallBatches::add(AttemptRequest call, size_t max_messages) {
+  std::vector<AttemptRequest>& batch = batches_[call.endpoint];
+  size_t bytes = batch_body_part(call).size();
+  for (const AttemptRequest& other : batch) bytes += batch_body_part(other).size();
+  std::vector<AttemptRequest> full;
+  if (batch.size() == max_messages || (!batch.empty() && bytes > kMaxBatchBodyBytes)) full.swap(batch);
   batch.push_back(std::move(call));
   return full;
 }
 
-std::vector<std::vector<Call>> CallBatches::take_all() {
-  std::vector<std::vector<Call>> batches;
+std::vector<std::vector<AttemptRequest>> CallBatches::take_all() {
+  std::vector<std::vector<AttemptRequest>> batches;
   for (auto& [endpoint, batch] : std::exchange(batches_, {})) batches.push_back(std::move(batch));
   return batches;
 }
--- a/relay/call_batches.h
+++ b/relay/call_batches.h
@@ -14,13 +14,13 @@
  public:
   // Adds a message to its endpoint's batch. If that has no room, starts a new batch with the message and
   // returns the full one; else returns an empty batch.
-  std::vector<Call> add(Call call, size_t max_messages);
+  std::vector<AttemptRequest> add(AttemptRequest call, size_t max_messages);
 
   // Removes and returns all batches.
-  std::vector<std::vector<Call>> take_all();
+  std::vector<std::vector<AttemptRequest>> take_all();
 
  private:
-  std::map<Endpoint, std::vector<Call>> batches_;
+  std::map<Endpoint, std::vector<AttemptRequest>> batches_;
 };
 
 }  // namespace turntally::relay
--- a/relay/client_session.cpp
+++ b/relay/client_session.cpp
@@ -44,7 +44,7 @@
   if (owner_ != nullptr && owner_->hand_over_) return hand_over();
   std::optional<std::vector<std::string>> words;
   try {
-    words = parser_.next();
+    words = parser_.next_command();
   } catch (const RespError& error) {
     return reject("-ERR protocol error: " + std::string(error.what()));
   }
@@ -79,7 +79,7 @@
   since_ = std::min(state.since, now);
   received_at_ = std::min(state.received_at, now);
   command_since_ = std::min(state.command_since, now);
-  has_sent_command_ = state.has_spoken;
+  has_sent_command_ = state.has_sent_command;
   parser_.feed(state.unread);
   proceed();
 }
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-Clients::Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions, Submit submit,
-                 int listener)
+Clients::Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions,
+                 SubmitHandler submit, int listener)
     : io_(io),
       protocol_(listen.protocol()),
       acceptor_(io),
@@ -103,7 +103,7 @@
   add(std::move(socket))->restore(state);
 }
 
-void Clients::hand_over(HandOver hand_over) {
+void Clients::hand_over(HandOverHandler hand_over) {
   hand_over_ = std::move(hand_over);
   finish();
   for (auto next = sessions_.begin(); next != sessions_.end();) {
@@ -112,7 +112,7 @@
   }
 }
 
-bool Clients::answered() const {
+bool Clients::has_answered_all() const {
   return std::none_of(sessions_.begin(), sessions_.end(),
                       [](const auto& session) { return session->owes_answer(); });
 }
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -18,15 +18,16 @@
 
 class Clients {
  public:
-  using Answer = std::function<void(std::string line)>;  // called once with a RESP line, without its line end
-  using Submit = std::function<void(SubmittedMessage message, Answer answer)>;
+  using AnswerHandler =
+      std::function<void(std::string line)>;  // called once with a RESP line, without its line end
+  using SubmitHandler = std::function<void(SubmittedMessage message, AnswerHandler answer)>;
 
   // Sends a connection and its state to another process.
-  using HandOver = std::function<void(const ClientFrame& state, int descriptor)>;
+  using HandOverHandler = std::function<void(const ClientFrame& state, int descriptor)>;
 
   // Starts listening, or takes over `listener` unless it is negative, and serves at most `max_sessions`
   // connections. Throws net::ListenError or boost::system::system_error.
-  Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions, Submit submit,
+  Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_sessions, SubmitHandler submit,
           int listener = -1);
   ~Clients();
 
@@ -36,23 +37,23 @@
   // every connection once it is between requests.
   void finish();
   // Returns whether finish() is complete: every client has closed its connection or has had time to.
-  bool ended() const { return finishing_ && sessions_.empty() && !acceptor_.is_open(); }
+  bool has_ended() const { return finishing_ && sessions_.empty() && !acceptor_.is_open(); }
 
   // Stops reading from clients, right before the process ends. Requests that were read are still answered,
   // see has_answered_all().
-  void read_no_more() { reading_ = false; }
+  void stop_reading() { reading_ = false; }
 
   // Rejects PING, and after a short delay closes connections between requests, but keeps listening.
   void drain();
   void activate() { draining_since_ = 0; }
 
   // Changes the limit of connections. Connections above it are closed once they can be spared.
-  void limit(size_t max_sessions) { max_sessions_ = max_sessions; }
+  void set_max_sessions(size_t max_sessions) { max_sessions_ = max_sessions; }
 
   // Accepts no new connection and sends each open one to another process once its request has been answered.
-  void hand_over(HandOver hand_over);
+  void hand_over(HandOverHandler hand_over);
   int listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
-  bool answered() const;  // no connection awaits the answer to a request that was read
+  bool has_answered_all() const;  // no connection awaits the answer to a request that was read
 
   // Returns whether there is a place, and according to `has_descriptor` a descriptor, for one more
   // connection of the predecessor process. Otherwise makes room and accepts no new connection for a moment.
@@ -83,13 +84,13 @@
   boost::asio::steady_timer accept_timer_;
   boost::asio::steady_timer sweep_timer_;
   size_t max_sessions_;
-  Submit submit_;
+  SubmitHandler submit_;
   bool accepting_ = false;
   Time places_reserved_until_ = 0;  // for connections of the predecessor process; 0: no places are reserved
   bool finishing_ = false;
   bool reading_ = true;
   Time draining_since_ = 0;                          // 0: not draining
-  HandOver hand_over_;                               // if set, connections go to another process
+  HandOverHandler hand_over_;                        // if set, connections go to another process
   std::array<char, size_t{64} * 1024> read_buffer_;  // last bytes read, shared by all connections
   std::list<std::shared_ptr<Session>> sessions_;
 };
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -40,7 +40,7 @@
 std::string require_variable(const char* variable) {
   const char* value = std::getenv(variable);
   if (value == nullptr || *value == '\0') {
-    throw NoEnvironment(variable);
+    throw MissingEnvironment(variable);
   }
   return value;
 }
@@ -117,11 +117,11 @@
     out.members.push_back(parse_address(address));
   if (out.members.empty()) throw BadConfig("fleet.registry must name at least one address");
   out.guard.hold_ms = it->value("hold_ms", out.guard.hold_ms);
-  out.guard.most_removed = it->value("most_removed", out.guard.most_removed);
+  out.guard.max_removed_share = it->value("most_removed", out.guard.max_removed_share);
   if (out.guard.hold_ms < 0) throw BadConfig("fleet.hold_ms must not be negative");
-  if (!(out.guard.most_removed >= 0 && out.guard.most_removed <= 1))
+  if (!(out.guard.max_removed_share >= 0 && out.guard.max_removed_share <= 1))
     throw BadConfig("fleet.most_removed must be within 0 to 1");
-  out.callers = config.settings.relay_count;
+  out.follower_count = config.settings.relay_count;
   out.seed = config.seed;
   return out;
 }
@@ -137,19 +137,19 @@
 static Config read_config(const std::string& text, const std::string& state) {
   const json root = json::parse(text);
   Config out;
-  out.text = text;
-  out.state = state;
+  out.file_text = text;
+  out.state_folder = state;
   out.name = root.at("name").get<std::string>();
   out.listen = read_address(root, "listen");
   out.discovery = read_address(root, "discovery");
   if (root.contains("control")) out.control = read_address(root, "control");
   out.seed = std::stoull(root.at("seed").get<std::string>(), nullptr, 16);
   const json& limits = root.at("limits");
-  out.sockets = limits.at("sockets").get<size_t>();
+  out.max_descriptors = limits.at("sockets").get<size_t>();
   const double disk_mb = limits.at("disk_mb").get<double>();
-  if (out.sockets < kMinDescriptors) throw BadConfig("limits.sockets is under 64");
+  if (out.max_descriptors < kMinDescriptors) throw BadConfig("limits.sockets is under 64");
   if (!(disk_mb > 0 && disk_mb < 1e6)) throw BadConfig("limits.disk_mb must be above 0 and below 1000000");
-  out.disk_bytes = static_cast<size_t>(disk_mb * 1e6);
+  out.max_disk_bytes = static_cast<size_t>(disk_mb * 1e6);
   const json& settings = root.at("settings");
   out.settings = policy::parse_settings(flatten(settings));
   std::set<std::string> classes;
@@ -162,8 +162,8 @@
   out.names.kinds = settings.at("kinds").get<std::vector<std::string>>();
   const json report = settings.value("telemetry", json::object());
   out.report_fields = report.value("fields", std::vector<std::string>{});
-  out.known = parse_list(root.at("known"), out.names);
-  out.fleet = read_list_follower(root, out);
+  out.known_endpoints = parse_list(root.at("known"), out.names);
+  out.list_follower = read_list_follower(root, out);
   return out;
 }
 
@@ -202,7 +202,7 @@
   std::ifstream file(path, std::ios::binary);
   if (!file) throw BadConfig("cannot read " + path);
   Config out = parse_file(path, {std::istreambuf_iterator<char>(file), {}}, state);
-  out.sockets = limit_descriptors(out.sockets);
+  out.max_descriptors = limit_descriptors(out.max_descriptors);
   // Takes precedence, as it belongs to the process: during an upgrade two versions may share a file.
   const char* control = std::getenv("PROXY_CONTROL");
   if (control != nullptr && *control != '\0') {
--- a/relay/config.h
+++ b/relay/config.h
@@ -16,23 +16,24 @@
   std::string name;
   tcp::endpoint listen;
   tcp::endpoint discovery;
-  std::optional<tcp::endpoint> control;                 // the operators' address
-  std::optional<registry::ListFollowerSettings> fleet;  // set if a registry is followed in place of discovery
-  std::string state;                                    // for state that outlives the process
+  std::optional<tcp::endpoint> control;  // the operators' address
+  std::optional<registry::ListFollowerSettings>
+      list_follower;         // set if a registry is followed in place of discovery
+  std::string state_folder;  // for state that outlives the process
   uint64_t seed = 0;
-  size_t sockets = 1024;
-  size_t disk_bytes = 0;
+  size_t max_descriptors = 1024;
+  size_t max_disk_bytes = 0;
   policy::Settings settings;
   ListNames names;
   std::vector<std::string> report_fields;
-  HostList known;
-  std::string text;  // the whole file, as it was read
+  EndpointList known_endpoints;
+  std::string file_text;  // the whole file, as it was read
 };
 
 // Returns the settings as the path=value lines that parse_settings reads.
 std::string flatten(const nlohmann::json& settings);
 
-// Throw BadConfig or NoEnvironment.
+// Throw BadConfig or MissingEnvironment.
 Config parse_config(const std::string& text, const std::string& state);
 Config load_config();
 
--- a/relay/control.cpp
+++ b/relay/control.cpp
@@ -28,35 +28,35 @@
 constexpr size_t kMaxLingerBytes = size_t{16} * 1024 * 1024;
 
 // Returns the operator request that an HTTP request makes, or the response to one that makes none.
-std::variant<OperatorCall, OperatorReply> parse_request(http::verb method, std::string_view target) {
-  using Action = OperatorCall::What;
+std::variant<OperatorRequest, OperatorResponse> parse_request(http::verb method, std::string_view target) {
+  using Action = OperatorRequest::Action;
   constexpr std::string_view kEndpoints = "/v1/endpoints/";
   const std::string_view path = target.substr(0, target.find('?'));
-  OperatorCall operator_request;
+  OperatorRequest operator_request;
   if (path == "/v1/readyz") {
-    operator_request.what = Action::kReady;
+    operator_request.action = Action::kReady;
   } else if (path == "/v1/metrics") {
-    operator_request.what = Action::kMetrics;
+    operator_request.action = Action::kMetrics;
   } else if (path == "/v1/relay/drain") {
-    operator_request.what = Action::kDrain;
+    operator_request.action = Action::kDrain;
   } else if (path == "/v1/relay/activate") {
-    operator_request.what = Action::kActivate;
+    operator_request.action = Action::kActivate;
   } else if (path == "/v1/relay/fence") {
-    operator_request.what = Action::kFence;
+    operator_request.action = Action::kFence;
   } else if (path.starts_with(kEndpoints)) {
     const std::string_view name_and_verb = path.substr(kEndpoints.size());
     const size_t slash = name_and_verb.find('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : name_and_verb.substr(slash + 1);
-    if (slash == 0 || (verb != "suspend" && verb != "resume")) return OperatorReply{404, "no such call\n"};
-    operator_request.what = verb == "suspend" ? Action::kSuspend : Action::kResume;
-    operator_request.id = name_and_verb.substr(0, slash);
+    if (slash == 0 || (verb != "suspend" && verb != "resume")) return OperatorResponse{404, "no such call\n"};
+    operator_request.action = verb == "suspend" ? Action::kSuspend : Action::kResume;
+    operator_request.endpoint_id = name_and_verb.substr(0, slash);
   } else {
-    return OperatorReply{404, "no such call\n"};
+    return OperatorResponse{404, "no such call\n"};
   }
   const bool is_read_only =
-      operator_request.what == Action::kReady || operator_request.what == Action::kMetrics;
+      operator_request.action == Action::kReady || operator_request.action == Action::kMetrics;
   if (method != (is_read_only ? http::verb::get : http::verb::post)) {
-    return OperatorReply{405, is_read_only ? "GET only\n" : "POST only\n"};
+    return OperatorResponse{405, is_read_only ? "GET only\n" : "POST only\n"};
   }
   return operator_request;
 }
@@ -64,7 +64,7 @@
 // Returns the lease under which a request is made, if any. An incomplete claim is rejected rather than
 // ignored: the request would be carried out as if an operator had made it by hand.
 std::optional<LeaseClaim> parse_lease_claim(const http::request<http::string_body>& request,
-                                            OperatorCall::What action) {
+                                            OperatorRequest::Action action) {
   const auto header_value = [&](const char* name) {
     const auto [first, last] = request.equal_range(name);
     if (first == last) return std::optional<std::string>();
@@ -75,10 +75,10 @@
   const auto token = header_value("X-Lease-Token");
   const auto only = header_value("X-Lease-Fence-Only");
   if (only && *only != "1") throw ClaimUnreadable("X-Lease-Fence-Only is not 1");
-  if (!lease && !token && !only && action != OperatorCall::What::kFence) return {};
+  if (!lease && !token && !only && action != OperatorRequest::Action::kFence) return {};
   if (!lease || !token) throw ClaimUnreadable(lease ? "X-Lease-Token is missing" : "X-Lease is missing");
   LeaseClaim claim = parse_claim(*lease, *token);
-  claim.raise_only = only.has_value() || action == OperatorCall::What::kFence;
+  claim.raise_only = only.has_value() || action == OperatorRequest::Action::kFence;
   return claim;
 }
 
@@ -90,9 +90,9 @@
 
 }  // namespace
 
-class Control::Connection : public std::enable_shared_from_this<Connection> {
+class ControlServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Control& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
+  Connection(ControlServer& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
     parser_.header_limit(kMaxHeadBytes);
     parser_.body_limit(kMaxBodyBytes);
   }
@@ -130,25 +130,26 @@
   }
 
  private:
-  OperatorReply handle_request() const {
+  OperatorResponse handle_request() const {
     const auto target = parser_.get().target();
     const auto parsed = parse_request(parser_.get().method(), {target.data(), target.size()});
-    if (const auto* reply = std::get_if<OperatorReply>(&parsed)) return *reply;
-    auto operator_request = std::get<OperatorCall>(parsed);
+    if (const auto* reply = std::get_if<OperatorResponse>(&parsed)) return *reply;
+    auto operator_request = std::get<OperatorRequest>(parsed);
     try {
       if (parser_.get().method() == http::verb::post)
-        operator_request.claim = parse_lease_claim(parser_.get(), operator_request.what);
+        operator_request.claim = parse_lease_claim(parser_.get(), operator_request.action);
       return owner_->handle_(operator_request);
     } catch (const FenceError& error) {
       return {error.status(), error.body(), true};
     }
   }
 
-  void respond(OperatorReply reply) {
+  void respond(OperatorResponse reply) {
     is_responding_ = true;
     response_.version(11);
     response_.result(static_cast<unsigned>(reply.status));
-    response_.set(http::field::content_type, reply.json ? "application/json" : "text/plain; version=0.0.4");
+    response_.set(http::field::content_type,
+                  reply.is_json ? "application/json" : "text/plain; version=0.0.4");
     if (reply.status == 405) response_.set(http::field::allow, reply.body.substr(0, reply.body.find(' ')));
     response_.keep_alive(false);
     response_.body() = std::move(reply.body);
@@ -164,7 +165,7 @@
     });
   }
 
-  Control* owner_;
+  ControlServer* owner_;
   net::Stream stream_;
   boost::beast::flat_buffer buffer_{kMaxHeadBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
@@ -172,18 +173,18 @@
   bool is_responding_ = false;
 };
 
-Control::Control(boost::asio::io_context& io, const tcp::endpoint& listen, Handle handle,
-                 size_t max_connections)
+ControlServer::ControlServer(boost::asio::io_context& io, const tcp::endpoint& listen, RequestHandler handle,
+                             size_t max_connections)
     : acceptor_(io), accept_timer_(io), handle_(std::move(handle)), max_connections_(max_connections) {
   net::listen(acceptor_, listen);
   accept();
 }
 
-Control::~Control() {
+ControlServer::~ControlServer() {
   for (const auto& connection : connections_) connection->orphan();
 }
 
-void Control::accept() {
+void ControlServer::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {  // out of descriptors: accepting again at once would spin
@@ -203,7 +204,7 @@
 
 // Idle connections must not shut out one with a request. Runs after the queued handlers, so requests that
 // arrived no later than the new connection are read first.
-void Control::make_room() {
+void ControlServer::make_room() {
   const auto last = connections_.empty() ? connections_.end() : std::prev(connections_.end());
   const auto idle =
       std::find_if(connections_.begin(), last, [](const auto& connection) { return connection->is_idle(); });
--- a/relay/control.h
+++ b/relay/control.h
@@ -15,31 +15,31 @@
 
 namespace turntally::relay {
 
-struct OperatorCall {
-  enum class What { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate, kFence };
-  What what = What::kReady;
-  std::string id;  // of the endpoint, if the request names one
+struct OperatorRequest {
+  enum class Action { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate, kFence };
+  Action action = Action::kReady;
+  std::string endpoint_id;  // of the endpoint, if the request names one
   std::optional<LeaseClaim> claim;
 };
 
-struct OperatorReply {
+struct OperatorResponse {
   int status = 200;
   std::string body;
-  bool json = false;
+  bool is_json = false;
 };
 
-class Control {
+class ControlServer {
  public:
-  using Handle = std::function<OperatorReply(const OperatorCall&)>;
+  using RequestHandler = std::function<OperatorResponse(const OperatorRequest&)>;
 
   // Default limit of connections. Above the limit, the connection whose request has been incomplete for
   // longest is closed; until one can be closed no further connection is accepted.
-  static constexpr size_t kMostCallers = 16;
+  static constexpr size_t kMaxConnections = 16;
 
   // Starts listening. Throws net::ListenError.
-  Control(boost::asio::io_context& io, const tcp::endpoint& listen, Handle handle,
-          size_t max_connections = kMostCallers);
-  ~Control();
+  ControlServer(boost::asio::io_context& io, const tcp::endpoint& listen, RequestHandler handle,
+                size_t max_connections = kMaxConnections);
+  ~ControlServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
@@ -51,7 +51,7 @@
 
   tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_;
-  Handle handle_;
+  RequestHandler handle_;
   size_t max_connections_;
   std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
--- a/relay/delivery_terms.cpp
+++ b/relay/delivery_terms.cpp
@@ -75,7 +75,7 @@
   const std::string text =
       journal_text(settings.classes[class_index(settings, message_class)], settings.max_attempts);
   int64_t last = 0;
-  const auto& facts = journal_.remembered();
+  const auto& facts = journal_.facts();
   for (auto it = facts.lower_bound(kTermsFactPrefix);
        it != facts.end() && it->first.starts_with(kTermsFactPrefix); ++it) {
     const int64_t recorded = std::stoll(it->first.substr(kTermsFactPrefix.size()));
@@ -83,13 +83,13 @@
     if (it->second == text) return number = recorded;
   }
   number = last + 1;
-  journal_.remember(kTermsFactPrefix + std::to_string(number), text);
+  journal_.record_fact(kTermsFactPrefix + std::to_string(number), text);
   return number;
 }
 
 DeliveryTerms DeliveryTermsStore::find(const policy::Settings& settings, const std::string& message_class,
                                        int64_t number) const {
-  const auto& facts = journal_.remembered();
+  const auto& facts = journal_.facts();
   const auto numbered = facts.find(kTermsFactPrefix + std::to_string(number));
   if (numbered != facts.end()) return parse_journal_text(message_class, numbered->second);
   const int index = class_index(settings, message_class);
@@ -112,12 +112,12 @@
   for (const policy::ClassSettings& entry : settings.classes)
     current.insert(journal_text(entry, settings.max_attempts));
   std::vector<std::string> unused;
-  for (const auto& [name, text] : journal_.remembered()) {
+  for (const auto& [name, text] : journal_.facts()) {
     const bool unneeded =
         (name.starts_with(kTermsFactPrefix) && !current.contains(text)) || name.starts_with(kClassFactPrefix);
     if (unneeded && !facts_in_use.contains(name)) unused.push_back(name);
   }
-  for (const std::string& name : unused) journal_.remember(name, "");
+  for (const std::string& name : unused) journal_.record_fact(name, "");
 }
 
 void RetiredClasses::retire(const policy::Settings& before, policy::Settings& next, Time now) {
--- a/relay/descriptor.cpp
+++ b/relay/descriptor.cpp
@@ -26,10 +26,10 @@
 }
 
 bool DescriptorReserve::acquire() {
-  if (held_.get() < 0) held_ = Descriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC));
-  return held_.get() >= 0;
+  if (reserved_.get() < 0) reserved_ = Descriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+  return reserved_.get() >= 0;
 }
 
-void DescriptorReserve::release() { Descriptor(std::move(held_)); }
+void DescriptorReserve::release() { Descriptor(std::move(reserved_)); }
 
 }  // namespace turntally::relay
--- a/relay/descriptor.h
+++ b/relay/descriptor.h
@@ -37,7 +37,7 @@
   void release();
 
  private:
-  Descriptor held_;
+  Descriptor reserved_;
 };
 
 }  // namespace turntally::relay
--- a/relay/descriptor_limits.h
+++ b/relay/descriptor_limits.h
@@ -17,7 +17,7 @@
 
 // Returns the settings with max_concurrent_calls limited to the available descriptors: a connection that
 // fails for lack of a descriptor would look like an endpoint that is down.
-policy::Settings within_descriptors(const Config& config);
+policy::Settings limit_concurrent_calls(const Config& config);
 
 Upstream::Limits upstream_limits(const Config& config);
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -31,8 +31,9 @@
 
 }  // namespace
 
-Watch::Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-             ListHandler on_list, std::function<void()> on_current, const Pace& pace)
+DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
+                               RevisionSource revision, ListHandler on_list, std::function<void()> on_current,
+                               const CallPacing& pace)
     : io_(io),
       address_(address),
       names_(std::move(names)),
@@ -40,7 +41,7 @@
       on_list_(std::move(on_list)),
       on_current_(std::move(on_current)),
       retry_timer_(io),
-      lists_are_pushed_(pace.pushed),
+      lists_are_pushed_(pace.lists_are_pushed),
       backoff_(pace.callers, pace.seed) {
   if (lists_are_pushed_) {
     connect_after(milliseconds(0));  // what the agent has counts as known from the start
@@ -49,16 +50,16 @@
   }
 }
 
-Watch::~Watch() { close(); }
+DiscoveryWatch::~DiscoveryWatch() { close(); }
 
-void Watch::close() {
+void DiscoveryWatch::close() {
   if (stream_) stream_->close();
   for (const auto& stream : previous_streams_) stream->close();
   previous_streams_.clear();
   retry_timer_.expires_at(std::chrono::steady_clock::time_point::max());
 }
 
-void Watch::move(const tcp::endpoint& address) {
+void DiscoveryWatch::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   if (stream_) previous_streams_.push_back(std::exchange(stream_, nullptr));
@@ -73,11 +74,11 @@
   connect_later(std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(*next_call_by_ - now)));
 }
 
-void Watch::connect_later(milliseconds max_delay) {
-  connect_after(backoff_.next(lists_are_pushed_ ? std::min(max_delay, kMaxDelayIfPushed) : max_delay));
+void DiscoveryWatch::connect_later(milliseconds max_delay) {
+  connect_after(backoff_.next_delay(lists_are_pushed_ ? std::min(max_delay, kMaxDelayIfPushed) : max_delay));
 }
 
-void Watch::connect_after(milliseconds delay) {
+void DiscoveryWatch::connect_after(milliseconds delay) {
   retry_timer_.expires_after(delay);
   retry_timer_.async_wait([this](const Error& error) {
     if (error || retry_timer_.expiry() > std::chrono::steady_clock::now()) return;  // closed, or set again
@@ -85,35 +86,36 @@
   });
 }
 
-void Watch::connect() {
+void DiscoveryWatch::connect() {
   // The handlers identify the stream by its address: it may be a previous one by the time it ends.
-  const auto self = std::make_shared<net::Lines*>(nullptr);
-  stream_ = std::make_shared<net::Lines>(
+  const auto self = std::make_shared<net::JsonStream*>(nullptr);
+  stream_ = std::make_shared<net::JsonStream>(
       io_, address_, kReadTimeout,
       [this, self](const std::string& text) { return on_line(text, *self == stream_.get()); },
-      [this, self](net::Lines::End reason) { on_stream_ended(*self, reason); });
+      [this, self](net::JsonStream::EndReason reason) { on_stream_ended(*self, reason); });
   *self = stream_.get();
   call_started_at_ = std::chrono::steady_clock::now();
   is_answered_ = false;
   stream_->start("/api/targets?stream=1&index=" + std::to_string(std::max<int64_t>(0, revision_())));
 }
 
-void Watch::on_stream_ended(net::Lines* stream, net::Lines::End reason) {
+void DiscoveryWatch::on_stream_ended(net::JsonStream* stream, net::JsonStream::EndReason reason) {
   stream->close();
-  net::log::info("watch_lost", "how", net::Lines::name_of(reason), "current",
+  net::log::info("watch_lost", "how", net::JsonStream::name_of(reason), "current",
                  stream == stream_.get() ? 1 : 0);
   if (stream != stream_.get()) {
     return void(std::erase_if(previous_streams_, [stream](const auto& old) { return old.get() == stream; }));
   }
   stream_.reset();
   if (is_answered_ || lists_are_pushed_) {
-    return connect_later(reason == net::Lines::End::kSilent ? kMaxDelayAfterSilence : milliseconds::max());
+    return connect_later(reason == net::JsonStream::EndReason::kSilent ? kMaxDelayAfterSilence
+                                                                       : milliseconds::max());
   }
   const auto call_duration = std::chrono::steady_clock::now() - call_started_at_;
-  connect_after(backoff_.again(std::chrono::duration_cast<milliseconds>(call_duration)));
+  connect_after(backoff_.delay_after_failure(std::chrono::duration_cast<milliseconds>(call_duration)));
 }
 
-bool Watch::on_line(const std::string& text, bool is_current) {
+bool DiscoveryWatch::on_line(const std::string& text, bool is_current) {
   try {
     if (text.find_first_not_of(" \r\t") != std::string::npos) {
       on_list_(parse_list(nlohmann::json::parse(text), names_));
@@ -133,9 +135,9 @@
 }
 
 // A persistent connection for notices, with one request at a time.
-class Notices::Connection : public std::enable_shared_from_this<Connection> {
+class NoticeSender::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  explicit Connection(Notices& owner) : owner_(&owner), stream_(owner.io_), timer_(owner.io_) {}
+  explicit Connection(NoticeSender& owner) : owner_(&owner), stream_(owner.io_), timer_(owner.io_) {}
 
   void send(const std::string& body) {
     request_ = {};
@@ -187,7 +189,7 @@
     if (owner_ != nullptr) owner_->on_response(accepted);
   }
 
-  Notices* owner_;
+  NoticeSender* owner_;
   net::Stream stream_;
   boost::asio::steady_timer timer_;
   http::request<http::string_body> request_;
@@ -197,7 +199,7 @@
   bool timed_out_ = false;
 };
 
-Notices::Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent)
+NoticeSender::NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address, SentHandler sent)
     : io_(io),
       address_(address),
       on_sent_(std::move(sent)),
@@ -205,9 +207,9 @@
       retry_delay_(kInitialRetryDelay),
       response_timeout_(kInitialResponseTimeout) {}
 
-Notices::~Notices() { close(); }
+NoticeSender::~NoticeSender() { close(); }
 
-void Notices::close() {
+void NoticeSender::close() {
   if (connection_) connection_->close();
   connection_.reset();
   queue_.clear();
@@ -215,12 +217,12 @@
   retry_timer_.cancel();
 }
 
-void Notices::add(FinalAnswer notice) {
+void NoticeSender::add(FinalAnswer notice) {
   queue_.push_back(std::move(notice));
   if (queue_.size() == 1) send_next();
 }
 
-void Notices::move(const tcp::endpoint& address) {
+void NoticeSender::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   if (connection_) connection_->close();
@@ -232,7 +234,7 @@
   send_next();
 }
 
-void Notices::send_next() {
+void NoticeSender::send_next() {
   if (in_flight_count_ > 0 || queue_.empty()) return;
   std::string body;
   for (; in_flight_count_ < std::min(queue_.size(), kMaxNoticesPerRequest); ++in_flight_count_) {
@@ -245,7 +247,7 @@
   connection_->send(body);
 }
 
-void Notices::on_response(bool accepted) {
+void NoticeSender::on_response(bool accepted) {
   const bool timed_out = connection_->timed_out();
   if (!connection_->is_reusable()) {
     connection_->close();
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "net/backoff.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "net/stream.h"
 #include "relay/directory.h"
 #include "relay/message.h"
@@ -26,65 +26,66 @@
 // Watches discovery's list of endpoints. A connection that ends or goes silent is opened again. When
 // discovery moves to another address, connections to the old one are read to their end, as what it has
 // written still counts.
-class Watch {
+class DiscoveryWatch {
  public:
-  using ListHandler = std::function<void(const HostList&)>;
-  using Revision = std::function<int64_t()>;  // the known revision; below 0: no list is known
+  using ListHandler = std::function<void(const EndpointList&)>;
+  using RevisionSource = std::function<int64_t()>;  // the known revision; below 0: no list is known
 
   // Determines how calls are spread over time. If lists are pushed, the agent serves this relay only and
   // answers at once, and what it has counts as known: then calls are not delayed for the sake of other
   // relays.
-  struct Pace {
+  struct CallPacing {
     int callers = 1;  // relays that call the same discovery
-    bool pushed = false;
+    bool lists_are_pushed = false;
     uint64_t seed = 0;
   };
 
   // `on_current` is called after each line, when everything that was available has been read.
-  Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-        ListHandler on_list, std::function<void()> on_current, const Pace& pace);
-  ~Watch();
+  DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
+                 RevisionSource revision, ListHandler on_list, std::function<void()> on_current,
+                 const CallPacing& pace);
+  ~DiscoveryWatch();
 
-  void move(const tcp::endpoint& address);
-  void rename(ListNames names) { names_ = std::move(names); }
+  void set_address(const tcp::endpoint& address);
+  void set_names(ListNames names) { names_ = std::move(names); }
   void close();  // permanently
 
  private:
   void connect();
   void connect_later(std::chrono::milliseconds max_delay = std::chrono::milliseconds::max());
   void connect_after(std::chrono::milliseconds delay);
-  void on_stream_ended(net::Lines* stream, net::Lines::End reason);
+  void on_stream_ended(net::JsonStream* stream, net::JsonStream::EndReason reason);
   bool on_line(const std::string& text, bool is_current);
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
   ListNames names_;
-  Revision revision_;
+  RevisionSource revision_;
   ListHandler on_list_;
   std::function<void()> on_current_;
   boost::asio::steady_timer retry_timer_;
   bool lists_are_pushed_;
   net::Backoff backoff_;
-  std::shared_ptr<net::Lines> stream_;
+  std::shared_ptr<net::JsonStream> stream_;
   std::chrono::steady_clock::time_point call_started_at_;  // when stream_ was opened
   bool is_answered_ = false;                               // whether stream_ has been answered
   // After a change of address: when the next call is made at the latest.
   std::optional<std::chrono::steady_clock::time_point> next_call_by_;
   bool has_received_list_ = false;
-  std::vector<std::shared_ptr<net::Lines>> previous_streams_;  // to earlier addresses, until they end
+  std::vector<std::shared_ptr<net::JsonStream>> previous_streams_;  // to earlier addresses, until they end
 };
 
 // Sends notices, and repeats each until it is answered with 204.
-class Notices {
+class NoticeSender {
  public:
-  using Sent = std::function<void(const std::string& id)>;
+  using SentHandler = std::function<void(const std::string& id)>;
 
-  Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent);
-  ~Notices();
+  NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address, SentHandler sent);
+  ~NoticeSender();
 
   void add(FinalAnswer notice);
   // Changes the address and sends unanswered notices to it at once.
-  void move(const tcp::endpoint& address);
+  void set_address(const tcp::endpoint& address);
   bool empty() const { return queue_.empty(); }
   void close();  // permanently; unanswered notices are left to another process
 
@@ -96,7 +97,7 @@
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
-  Sent on_sent_;
+  SentHandler on_sent_;
   boost::asio::steady_timer retry_timer_;
   std::chrono::milliseconds retry_delay_;
   std::chrono::milliseconds response_timeout_;  // limit for the response to the next request
--- a/relay/durable_clock.h
+++ b/relay/durable_clock.h
@@ -17,7 +17,7 @@
  public:
   // The machine's clocks when the process started.
   struct Reading {
-    std::string boot;  // identifies the boot; empty if the platform does not name it
+    std::string boot_id;  // identifies the boot; empty if the platform does not name it
     Time steady = 0;
     Time wall = 0;
   };
@@ -36,7 +36,7 @@
   std::string text() const;
 
  private:
-  std::string boot_;
+  std::string boot_id_;
   Time offset_ = 0;
 };
 
--- a/relay/fence.h
+++ b/relay/fence.h
@@ -38,15 +38,15 @@
   int status() const override { return 409; }
 };
 
-class LeaseNamesFull : public FenceError {
+class TooManyLeases : public FenceError {
  public:
-  explicit LeaseNamesFull(const std::string& lease);
+  explicit TooManyLeases(const std::string& lease);
   int status() const override { return 507; }
 };
 
-class FenceNotKept : public FenceError {
+class FencingTokenNotStored : public FenceError {
  public:
-  explicit FenceNotKept(const std::string& lease);
+  explicit FencingTokenNotStored(const std::string& lease);
   int status() const override { return 507; }
 };
 
@@ -56,11 +56,11 @@
 // The highest token of each lease.
 class FencingTokens {
  public:
-  static constexpr size_t kMostLeases = 64;  // a lease is never forgotten
-  static constexpr size_t kMostName = 200;   // bytes, as in the registry
+  static constexpr size_t kMaxLeases = 64;            // a lease is never forgotten
+  static constexpr size_t kMaxLeaseNameLength = 200;  // bytes, as in the registry
 
   // Sets a lease's highest token as recovered from the journal.
-  void recall(const std::string& lease, Token highest) { highest_[lease] = highest; }
+  void restore(const std::string& lease, Token highest) { highest_[lease] = highest; }
   // Raises the lease's highest token to the claim's. Throws LeaseFenced for a lower token and TooManyLeases
   // for one lease too many; nothing has changed then.
   void raise(const LeaseClaim& claim);
--- a/relay/final_answer_publisher.cpp
+++ b/relay/final_answer_publisher.cpp
@@ -14,7 +14,7 @@
   if (journal_.record_final_answer(answer) || deadline <= steady_now() + kRetryPause)
     return notices_.add(std::move(answer));
   unrecorded_.push_back({std::move(answer), deadline});
-  if (unrecorded_.size() == 1) retry_later();
+  if (unrecorded_.size() == 1) schedule_retry();
 }
 
 void FinalAnswerPublisher::stop() {
@@ -22,7 +22,7 @@
   retry_timer_.cancel();
 }
 
-void FinalAnswerPublisher::retry_later() {
+void FinalAnswerPublisher::schedule_retry() {
   retry_timer_.expires_after(std::chrono::microseconds(kRetryPause));
   retry_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error && !stopped_) retry();
@@ -41,7 +41,7 @@
     }
   }
   unrecorded_ = std::move(remaining);
-  if (!unrecorded_.empty()) retry_later();
+  if (!unrecorded_.empty()) schedule_retry();
 }
 
 }  // namespace turntally::relay
--- a/relay/final_answer_publisher.h
+++ b/relay/final_answer_publisher.h
@@ -16,13 +16,13 @@
 // yet. Deadlines are microseconds of the steady clock.
 class FinalAnswerPublisher {
  public:
-  FinalAnswerPublisher(boost::asio::io_context& io, Journal& journal, Notices& notices)
+  FinalAnswerPublisher(boost::asio::io_context& io, Journal& journal, NoticeSender& notices)
       : journal_(journal), notices_(notices), retry_timer_(io) {}
 
   void publish(FinalAnswer answer, Time deadline);
 
   // Returns whether no answer waits for its record.
-  bool idle() const { return unrecorded_.empty(); }
+  bool is_idle() const { return unrecorded_.empty(); }
 
   // Stops publishing the waiting answers: the successor owns the journal.
   void stop();
@@ -33,11 +33,11 @@
     Time deadline = 0;
   };
 
-  void retry_later();
+  void schedule_retry();
   void retry();
 
   Journal& journal_;
-  Notices& notices_;
+  NoticeSender& notices_;
   boost::asio::steady_timer retry_timer_;
   std::vector<UnrecordedAnswer> unrecorded_;
   bool stopped_ = false;
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -76,7 +76,7 @@
   const auto deadline = std::chrono::steady_clock::now() + kPeerTimeout;
   while (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0 && !request_folder_lock()) {
     if (std::chrono::steady_clock::now() > deadline) {
-      throw NotHandedOver(folder.string());
+      throw HandoverRefused(folder.string());
     }
     std::this_thread::sleep_for(kLockPollInterval);
   }
@@ -241,9 +241,9 @@
   const auto [address, size] = local_address(socket_name_);
   if (socket.get() < 0 || ::bind(socket.get(), reinterpret_cast<const sockaddr*>(&address), size) != 0 ||
       ::listen(socket.get(), 4) != 0) {
-    if (net::is_passing_shortage(Error(errno, boost::system::system_category()))) return retry_await();
+    if (net::is_transient_shortage(Error(errno, boost::system::system_category()))) return retry_await();
     // Some platforms refuse local sockets. Only an upgrade under load needs one.
-    net::log::failed(net::log::Level::kWarn, "no_handover", NoHandover(std::strerror(errno)));
+    net::log::failed(net::log::Level::kWarn, "no_handover", HandoverUnavailable(std::strerror(errno)));
     return;
   }
   Error error;
--- a/relay/handover.h
+++ b/relay/handover.h
@@ -40,10 +40,10 @@
   using RoomCheck = std::function<bool(bool has_descriptor)>;
 
   // Waits until this process owns the folder, because it is free or its owner hands it over. Throws
-  // StateUnusable or NotHandedOver if neither happens.
+  // StateUnusable or HandoverRefused if neither happens.
   Handover(boost::asio::io_context& io, const std::filesystem::path& folder);
 
-  bool taken_over() const { return predecessor_.is_open(); }
+  bool has_predecessor() const { return predecessor_.is_open(); }
 
   // Waits for the next frame of the predecessor and returns it; nothing if that process is gone or stalls.
   std::optional<HandoverFrame> next_frame();
--- a/relay/handover_frames.cpp
+++ b/relay/handover_frames.cpp
@@ -71,14 +71,14 @@
 
 std::string InFlightCallFrame::text() const {
   return nlohmann::json{
-      {kEndpointIdKey, host_id}, {kStartedAtKey, started_at}, {kAttemptNumbersKey, attempt_numbers}}
+      {kEndpointIdKey, endpoint_id}, {kStartedAtKey, started_at}, {kAttemptNumbersKey, attempt_numbers}}
       .dump();
 }
 
 InFlightCallFrame InFlightCallFrame::parse(const std::string& text) {
   return parse_frame(HandoverFrame::kCall, text, [](const nlohmann::json& json) {
     InFlightCallFrame frame;
-    frame.host_id = json.at(kEndpointIdKey).get<std::string>();
+    frame.endpoint_id = json.at(kEndpointIdKey).get<std::string>();
     frame.started_at = time_from(json.at(kStartedAtKey));
     for (const auto& [id, attempt] : json.at(kAttemptNumbersKey).items())
       frame.attempt_numbers[id] = attempt_number_from(attempt);
@@ -120,7 +120,7 @@
   const nlohmann::json state = {{kSinceKey, since},
                                 {kReceivedAtKey, received_at},
                                 {kCommandSinceKey, command_since},
-                                {kHasSentCommandKey, has_spoken}};
+                                {kHasSentCommandKey, has_sent_command}};
   return state.dump() + "\n" + unread;
 }
 
@@ -132,7 +132,7 @@
                                     state.since = time_from(json.at(kSinceKey));
                                     state.received_at = time_from(json.at(kReceivedAtKey));
                                     state.command_since = time_from(json.at(kCommandSinceKey));
-                                    state.has_spoken = json.at(kHasSentCommandKey).get<bool>();
+                                    state.has_sent_command = json.at(kHasSentCommandKey).get<bool>();
                                     return state;
                                   });
   if (end < text.size()) frame.unread = text.substr(end + 1);
--- a/relay/handover_frames.h
+++ b/relay/handover_frames.h
@@ -12,7 +12,7 @@
 
 // Text of HandoverFrame::kCall: a call that the predecessor still has in flight.
 struct InFlightCallFrame {
-  std::string host_id;                         // empty: the endpoint is no longer known
+  std::string endpoint_id;                     // empty: the endpoint is no longer known
   Time started_at = 0;                         // microseconds of the machine's steady clock
   std::map<std::string, int> attempt_numbers;  // by message id
 
@@ -36,7 +36,7 @@
   Time since = 0;          // when the client connected or was last answered
   Time received_at = 0;    // when the newest byte arrived
   Time command_since = 0;  // when the first byte of an unfinished command was read; 0: none has begun
-  bool has_spoken = false;
+  bool has_sent_command = false;
   std::string unread;  // bytes of the unfinished command
 
   std::string text() const;
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -89,11 +89,11 @@
   return std::string(raw, kHeaderBytes).append(payload);
 }
 
-Recovered read_accepted(const std::string& id, RecordReader& in) {
-  Recovered entry;
+JournaledMessage read_accepted(const std::string& id, RecordReader& in) {
+  JournaledMessage entry;
   entry.message.id = id;
   entry.message.message_class = in.text();
-  entry.message.key = in.text();
+  entry.message.idempotency_key = in.text();
   entry.message.destination = static_cast<int>(in.number());
   entry.deadline = in.number();
   entry.message.body = in.text();
@@ -103,10 +103,10 @@
   return entry;
 }
 
-void read_attempt(Recovered& entry, RecordReader& in) {
+void read_attempt(JournaledMessage& entry, RecordReader& in) {
   const int number = static_cast<int>(in.number());
   const Time sent = in.number();
-  if (number >= entry.attempts) ++entry.begun;  // recorded again if the call needs a new connection
+  if (number >= entry.attempts) ++entry.calls_begun;  // recorded again if the call needs a new connection
   entry.attempts = number + 1;
   RecordedAttempt& attempt = entry.possibly_run[number] = {sent, static_cast<int>(in.number()), ""};
   if (in.more()) attempt.zone_name = in.text();  // missing in older records
@@ -145,10 +145,10 @@
 
 Journal::Journal(const std::filesystem::path& folder, size_t disk_bytes)
     : path_(folder / "journal"),
-      fresh_path_(folder / "journal.new"),
-      most_file_(static_cast<size_t>(kMaxFileShare * static_cast<double>(disk_bytes))) {
+      compacted_path_(folder / "journal.new"),
+      max_file_bytes_(static_cast<size_t>(kMaxFileShare * static_cast<double>(disk_bytes))) {
   std::error_code ignored;
-  std::filesystem::remove(fresh_path_, ignored);
+  std::filesystem::remove(compacted_path_, ignored);
   file_ = net::open_file(path_, O_RDWR | O_CREAT | O_APPEND, kOpenTimeout);
   if (file_ < 0) throw StateUnusable("cannot open " + path_.string() + ": " + std::strerror(errno));
   replay();
@@ -168,14 +168,14 @@
     if (header[0] > bytes.size() - offset - kHeaderBytes) break;
     const auto payload = std::string_view(bytes).substr(offset + kHeaderBytes, header[0]);
     if (payload.empty() || checksum(payload) != header[1]) break;
-    apply(payload, entry_indexes);
+    apply_record(payload, entry_indexes);
     offset += kHeaderBytes + header[0];
   }
-  size_ = offset;
+  file_bytes_ = offset;
   // The next replay would not find records behind a torn one. If that cannot be cut off, the next write
   // compacts the file first.
   incomplete_ = offset < bytes.size() && ::ftruncate(file_, static_cast<off_t>(offset)) != 0;
-  std::vector<Recovered> unfinished;
+  std::vector<JournaledMessage> unfinished;
   for (size_t i = 0; i < recovered_.size(); ++i) {
     const auto index = entry_indexes.find(recovered_[i].message.id);
     if (index != entry_indexes.end() && index->second == i) unfinished.push_back(std::move(recovered_[i]));
@@ -183,7 +183,7 @@
   recovered_ = std::move(unfinished);
 }
 
-void Journal::apply(std::string_view record, std::map<std::string, size_t>& entry_indexes) {
+void Journal::apply_record(std::string_view record, std::map<std::string, size_t>& entry_indexes) {
   RecordReader in(record);
   const char kind = in.kind();
   const std::string id = in.text();
@@ -191,15 +191,15 @@
   if (kind == kAccepted) {
     entry_indexes[id] = recovered_.size();
     recovered_.push_back(read_accepted(id, in));
-    places_[id] = ++order_;
+    places_[id] = ++last_place_;
   }
   const auto index = entry_indexes.find(id);
   if (index == entry_indexes.end()) return;
-  Recovered& entry = recovered_[index->second];
-  std::string& records = live_[places_[id]];
+  JournaledMessage& entry = recovered_[index->second];
+  std::string& records = live_records_[places_[id]];
   if (kind == kAcknowledged) {
     live_bytes_ -= records.size() + kReservedBytesPerMessage;
-    live_.erase(places_[id]);
+    live_records_.erase(places_[id]);
     places_.erase(id);
     entry_indexes.erase(index);
     return;
@@ -213,28 +213,28 @@
 }
 
 void Journal::set_fact(const std::string& name, const std::string& value) {
-  const auto old = remembered_.find(name);
-  if (old != remembered_.end()) {
+  const auto old = facts_.find(name);
+  if (old != facts_.end()) {
     live_bytes_ -= framed(RecordWriter(kFact, name).text(old->second).payload()).size();
-    remembered_.erase(old);
+    facts_.erase(old);
   }
   if (value.empty()) return;
   live_bytes_ += framed(RecordWriter(kFact, name).text(value).payload()).size();
-  remembered_[name] = value;
+  facts_[name] = value;
 }
 
-void Journal::remember(const std::string& name, const std::string& value) {
-  const auto old = remembered_.find(name);
-  if (value == (old == remembered_.end() ? "" : old->second)) return;
+void Journal::record_fact(const std::string& name, const std::string& value) {
+  const auto old = facts_.find(name);
+  if (value == (old == facts_.end() ? "" : old->second)) return;
   set_fact(name, value);
   write(framed(RecordWriter(kFact, name).text(value).payload()));
 }
 
-bool Journal::remember_synced(const std::string& name, const std::string& value) {
-  const auto old = remembered_.find(kSynced + name);
-  if (old == remembered_.end() || old->second != value) {
+bool Journal::record_synced_fact(const std::string& name, const std::string& value) {
+  const auto old = facts_.find(kSyncedFactPrefix + name);
+  if (old == facts_.end() || old->second != value) {
     unsynced_ = true;
-    remember(kSynced + name, value);
+    record_fact(kSyncedFactPrefix + name, value);
   }
   if (!write_pending()) return false;
   if (unsynced_ && !sync()) {
@@ -258,7 +258,7 @@
 bool Journal::record_accepted(const SubmittedMessage& message, Time deadline, int64_t terms_number) {
   RecordWriter record(kAccepted, message.id);
   record.text(message.message_class)
-      .text(message.key)
+      .text(message.idempotency_key)
       .number(message.destination)
       .number(deadline)
       .text(message.body)
@@ -266,14 +266,15 @@
       .number(terms_number)
       .number(static_cast<int64_t>(message.ordering_key));
   const size_t bytes = kHeaderBytes + record.payload().size() + kReservedBytesPerMessage;
-  if (static_cast<double>(live_bytes_ + bytes) > kAcceptShare * static_cast<double>(most_file_)) return false;
-  places_[message.id] = ++order_;
+  if (static_cast<double>(live_bytes_ + bytes) > kAcceptShare * static_cast<double>(max_file_bytes_))
+    return false;
+  places_[message.id] = ++last_place_;
   if (append(message.id, record.payload())) {
     live_bytes_ += kReservedBytesPerMessage;
     return true;
   }
-  live_bytes_ -= live_[order_].size();
-  live_.erase(order_);
+  live_bytes_ -= live_records_[last_place_].size();
+  live_records_.erase(last_place_);
   places_.erase(message.id);
   return false;
 }
@@ -287,7 +288,8 @@
   if (!zone_name.empty()) record.text(zone_name);
   const std::string& payload = record.payload();
   if (append(id, payload)) return true;
-  std::string& records = live_[place->second];  // the call does not start: a compaction must not write it
+  std::string& records =
+      live_records_[place->second];  // the call does not start: a compaction must not write it
   const size_t record_bytes = kHeaderBytes + payload.size();
   records.resize(records.size() - record_bytes);
   live_bytes_ -= record_bytes;
@@ -307,8 +309,8 @@
 void Journal::record_acknowledged(const std::string& id) {
   const auto place = places_.find(id);
   if (place == places_.end()) return;
-  live_bytes_ -= live_[place->second].size() + kReservedBytesPerMessage;
-  live_.erase(place->second);
+  live_bytes_ -= live_records_[place->second].size() + kReservedBytesPerMessage;
+  live_records_.erase(place->second);
   places_.erase(place);
   write(framed(RecordWriter(kAcknowledged, id).payload()));
 }
@@ -317,7 +319,7 @@
   const auto place = places_.find(id);
   if (place == places_.end()) return false;
   const std::string bytes = framed(payload);
-  live_[place->second] += bytes;
+  live_records_[place->second] += bytes;
   live_bytes_ += bytes.size();
   return write(bytes);
 }
@@ -326,40 +328,39 @@
 // written before. After a failure the file stays incomplete until a compaction succeeds.
 bool Journal::write(std::string_view bytes) {
   if (incomplete_) return compact();
-  if (size_ + bytes.size() > most_file_ && compact()) return true;
+  if (file_bytes_ + bytes.size() > max_file_bytes_ && compact()) return true;
   incomplete_ = true;
-  if (size_ + bytes.size() > most_file_) return false;
+  if (file_bytes_ + bytes.size() > max_file_bytes_) return false;
   if (write_all(file_, bytes)) {
     incomplete_ = false;
-    size_ += bytes.size();
+    file_bytes_ += bytes.size();
     return true;
   }
   // A partial record would hide all records behind it from the next replay.
-  if (::ftruncate(file_, static_cast<off_t>(size_)) != 0) return compact();
+  if (::ftruncate(file_, static_cast<off_t>(file_bytes_)) != 0) return compact();
   return false;
 }
 
 bool Journal::compact() {
   std::string bytes;
-  for (const auto& [name, value] : remembered_)
-    bytes += framed(RecordWriter(kFact, name).text(value).payload());
-  for (const auto& [place, records] : live_) bytes += records;
-  if (bytes.size() > most_file_) return false;
+  for (const auto& [name, value] : facts_) bytes += framed(RecordWriter(kFact, name).text(value).payload());
+  for (const auto& [place, records] : live_records_) bytes += records;
+  if (bytes.size() > max_file_bytes_) return false;
   const int compacted_file =
-      ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
+      ::open(compacted_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
   if (compacted_file < 0) return false;
   // Synced facts must not leave the disk with the old file.
-  const auto synced = remembered_.lower_bound(kSynced);
-  const bool has_synced = synced != remembered_.end() && synced->first.starts_with(kSynced);
+  const auto synced = facts_.lower_bound(kSyncedFactPrefix);
+  const bool has_synced = synced != facts_.end() && synced->first.starts_with(kSyncedFactPrefix);
   if (!write_all(compacted_file, bytes) || (has_synced && ::fdatasync(compacted_file) != 0) ||
-      ::rename(fresh_path_.c_str(), path_.c_str()) != 0) {
+      ::rename(compacted_path_.c_str(), path_.c_str()) != 0) {
     ::close(compacted_file);
-    ::unlink(fresh_path_.c_str());
+    ::unlink(compacted_path_.c_str());
     return false;
   }
   ::close(file_);
   file_ = compacted_file;
-  size_ = bytes.size();
+  file_bytes_ = bytes.size();
   incomplete_ = false;
   return true;
 }
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -20,11 +20,11 @@
   std::string zone_name;  // empty: not recorded
 };
 
-struct Recovered {
+struct JournaledMessage {
   SubmittedMessage message;
   Time deadline = 0;                            // by the DurableClock, like all times in the journal
   int attempts = 0;                             // the last attempt's number plus one
-  int begun = 0;                                // attempts that began a call
+  int calls_begun = 0;                          // attempts that began a call
   std::map<int, RecordedAttempt> possibly_run;  // by attempt number
   std::optional<FinalAnswer> unacknowledged_answer;
   int64_t terms_number = 0;  // number of its DeliveryTerms; 0: not recorded
@@ -41,10 +41,10 @@
   Journal& operator=(const Journal&) = delete;
 
   // Returns the messages that were unfinished when the journal was opened, in the order of their acceptance.
-  const std::vector<Recovered>& recovered() const { return recovered_; }
+  const std::vector<JournaledMessage>& recovered() const { return recovered_; }
 
   // Returns the current facts by name.
-  const std::map<std::string, std::string>& remembered() const { return remembered_; }
+  const std::map<std::string, std::string>& facts() const { return facts_; }
 
   // Returns false if there is no room or the write failed: the message must not be accepted. `terms_number`
   // is the number of its DeliveryTerms.
@@ -61,16 +61,16 @@
   bool write_pending() { return !incomplete_ || compact(); }
   // Records a fact, which belongs to no message. Replaces the value of the same name; an empty value removes
   // the fact.
-  void remember(const std::string& name, const std::string& value);
+  void record_fact(const std::string& name, const std::string& value);
   // Records a fact under kSyncedFactPrefix + name that also outlasts a crash of the machine. Returns true
   // once it is on the disk. Until then it must not be relied on; a later call with the same value tries
   // again.
-  static constexpr const char* kSynced = "fence ";
-  bool remember_synced(const std::string& name, const std::string& value);
+  static constexpr const char* kSyncedFactPrefix = "fence ";
+  bool record_synced_fact(const std::string& name, const std::string& value);
 
  private:
   void replay();
-  void apply(std::string_view record, std::map<std::string, size_t>& entry_indexes);
+  void apply_record(std::string_view record, std::map<std::string, size_t>& entry_indexes);
   void set_fact(const std::string& name, const std::string& value);
   bool append(const std::string& id, const std::string& payload);
   bool write(std::string_view bytes);
@@ -78,18 +78,19 @@
   bool sync();
 
   std::filesystem::path path_;
-  std::filesystem::path fresh_path_;
-  size_t most_file_;  // of one file; there are two during a compaction
+  std::filesystem::path compacted_path_;
+  size_t max_file_bytes_;  // of one file; there are two during a compaction
   int file_ = -1;
-  size_t size_ = 0;
+  size_t file_bytes_ = 0;
   bool incomplete_ = false;  // the file lacks some of the live records or facts
   bool unsynced_ = true;     // synced facts may not be on the disk; unknown after opening
   size_t live_bytes_ = 0;
-  uint64_t order_ = 0;
+  uint64_t last_place_ = 0;
   std::map<std::string, uint64_t> places_;  // order of acceptance of the live messages, by id
-  std::map<uint64_t, std::string> live_;    // records of the live messages as written, by order of acceptance
-  std::vector<Recovered> recovered_;
-  std::map<std::string, std::string> remembered_;
+  std::map<uint64_t, std::string>
+      live_records_;  // records of the live messages as written, by order of acceptance
+  std::vector<JournaledMessage> recovered_;
+  std::map<std::string, std::string> facts_;
 };
 
 }  // namespace turntally::relay
--- a/relay/journal_facts.h
+++ b/relay/journal_facts.h
@@ -8,14 +8,15 @@
 namespace turntally::relay::fact {
 
 // Prefixes, followed by an endpoint's id.
-inline const std::string kHost = "host ";            // its entry in the list
-inline const std::string kGone = "gone ";            // when it was removed from the list
+inline const std::string kEndpoint = "host ";        // its entry in the list
+inline const std::string kRemovedAt = "gone ";       // when it was removed from the list
 inline const std::string kSuspended = "suspended ";  // set while an operator has it suspended
 
-inline const std::string kDestination = "destination ";   // prefix, then its number: its DestinationState
-inline const std::string kFence = Journal::kSynced;       // prefix, then a lease: its highest token
-inline const std::string kRevision = "revision";          // of the list
-inline const std::string kIdentity = "identity";          // of the registry's list
+inline const std::string kDestination = "destination ";  // prefix, then its number: its DestinationState
+inline const std::string kFencingToken =
+    Journal::kSyncedFactPrefix;                           // prefix, then a lease: its highest token
+inline const std::string kListRevision = "revision";      // of the list
+inline const std::string kListIdentity = "identity";      // of the registry's list
 inline const std::string kDestinations = "destinations";  // all that ever had an endpoint
 inline const std::string kClock = "clock";                // DurableClock's stored text
 
--- a/relay/message.h
+++ b/relay/message.h
@@ -15,7 +15,7 @@
 struct SubmittedMessage {
   std::string id;
   std::string message_class;
-  std::string key;  // idempotency key; empty if none
+  std::string idempotency_key;  // idempotency key; empty if none
   int destination = 0;
   Time time_to_live = 0;  // microseconds from receipt of its last byte in which it may be delivered
   std::string body;
--- a/relay/message_ordering.cpp
+++ b/relay/message_ordering.cpp
@@ -17,7 +17,7 @@
 
 std::vector<RecordedHold> recorded_holds(const Journal& journal) {
   std::vector<RecordedHold> holds;
-  const auto& facts = journal.remembered();
+  const auto& facts = journal.facts();
   for (auto it = facts.lower_bound(kHoldFactPrefix);
        it != facts.end() && it->first.starts_with(kHoldFactPrefix); ++it) {
     holds.push_back(
@@ -36,12 +36,12 @@
 void MessageOrdering::hold(uint64_t ordering_key, Time pause) {
   const Time now = clock_.now();
   for (const RecordedHold& hold : recorded_holds(journal_)) {
-    if (hold.until <= now) journal_.remember(hold.fact, "");
+    if (hold.until <= now) journal_.record_fact(hold.fact, "");
   }
-  journal_.remember(kHoldFactPrefix + std::to_string(ordering_key), std::to_string(now + pause));
+  journal_.record_fact(kHoldFactPrefix + std::to_string(ordering_key), std::to_string(now + pause));
 }
 
-std::vector<uint64_t> MessageOrdering::held_back_keys() const {
+std::vector<uint64_t> MessageOrdering::held_keys() const {
   const Time now = clock_.now();
   std::vector<uint64_t> keys;
   for (const RecordedHold& hold : recorded_holds(journal_)) {
--- a/relay/message_ordering.h
+++ b/relay/message_ordering.h
@@ -32,7 +32,7 @@
   void hold(uint64_t ordering_key, Time pause);
 
   // Returns the keys with a hold that has not ended, in the order of the journal's facts.
-  std::vector<uint64_t> held_back_keys() const;
+  std::vector<uint64_t> held_keys() const;
 
  private:
   Journal& journal_;
--- a/relay/pending_messages.h
+++ b/relay/pending_messages.h
@@ -37,7 +37,7 @@
   size_t size() const { return messages_.size(); }
   size_t accepted_count() const;
   size_t count_up_to(uint64_t number) const;
-  const std::unordered_map<uint64_t, PendingMessage>& all() const { return messages_; }
+  const std::unordered_map<uint64_t, PendingMessage>& by_number() const { return messages_; }
 
  private:
   uint64_t last_number_ = 0;
--- a/relay/put_command.cpp
+++ b/relay/put_command.cpp
@@ -49,7 +49,7 @@
 void set_field(SubmittedMessage& message, std::string_view name, std::string_view value) {
   if (name == "c") message.message_class = value;
   if (name == "t") message.tenant = value;
-  if (name == "k") message.key = value;
+  if (name == "k") message.idempotency_key = value;
   if (name == "d") message.time_to_live = 1000 * parse_number(value, kMaxTimeToLiveMs);
   if (name == "dest") message.destination = static_cast<int>(parse_number(value, 1'000'000));
 }
@@ -68,7 +68,7 @@
   if (!is_display_name(message.message_class)) throw std::invalid_argument("unreadable class");
   if (!message.tenant.empty() && !is_display_name(message.tenant))
     throw std::invalid_argument("unreadable tenant");
-  if (!message.key.empty() && !is_name(message.key))
+  if (!message.idempotency_key.empty() && !is_name(message.idempotency_key))
     throw std::invalid_argument("unreadable idempotency key");
   if (message.time_to_live < 0) throw std::invalid_argument("no d");
   if (message.destination < 0) throw std::invalid_argument("no dest");
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -22,8 +22,8 @@
 constexpr Time kFirstListTimeout = 300 * kMs;  // discovery answers at once, unless it is down
 
 DurableClock clock_of(const Journal& journal) {
-  const auto stored = journal.remembered().find(fact::kClock);
-  return {DurableClock::read_machine(), stored == journal.remembered().end() ? "" : stored->second};
+  const auto stored = journal.facts().find(fact::kClock);
+  return {DurableClock::read_machine(), stored == journal.facts().end() ? "" : stored->second};
 }
 
 // Returns the index of the name, or -1 if it is not among the names.
@@ -52,16 +52,17 @@
     : io_(io),
       config_(config),
       control_(config.control
-                   ? std::make_unique<Control>(
-                         io, *config.control, [this](const OperatorCall& call) { return operate(call); },
+                   ? std::make_unique<ControlServer>(
+                         io, *config.control,
+                         [this](const OperatorRequest& call) { return handle_operator_call(call); },
                          max_operators(config))
                    : nullptr),
-      handover_(io, config.state),
-      journal_(config.state, config.disk_bytes),
+      handover_(io, config.state_folder),
+      journal_(config.state_folder, config.max_disk_bytes),
       clock_(clock_of(journal_)),
       delivery_terms_(journal_),
       ordering_(journal_, clock_),
-      policy_(within_descriptors(config), config.seed),
+      policy_(limit_concurrent_calls(config), config.seed),
       wake_timer_(io),
       stop_timer_(io),
       notices_(io, config.discovery,
@@ -72,64 +73,65 @@
       final_answers_(io, journal_, notices_),
       upstream_(
           io, upstream_limits(config), config.report_fields,
-          [this](const Call& call) { return may_start(call); },
+          [this](const AttemptRequest& call) { return may_start(call); },
           [this](const policy::AttemptEnded& end, bool call_started) { on_attempt_ended(end, call_started); },
           [this](const policy::HealthCheckEnded& end) {
             queue_event(end);
             on_endpoint_idle(end.endpoint);
           }),
-      listening_(std::move(on_listening)),
-      open_timer_(io) {
-  if (!config.fleet) {
+      on_listening_(std::move(on_listening)),
+      start_timer_(io) {
+  if (!config.list_follower) {
     watch_.emplace(
         io, config.discovery, config.names,
-        [this] { return directory_.hosts().empty() ? -1 : directory_.revision(); },
-        [this](const HostList& list) { on_endpoint_list(list); }, [this] { open(); },
-        Watch::Pace{config.settings.relay_count, !config.settings.list_needs_watch, config.seed});
+        [this] { return directory_.endpoints().empty() ? -1 : directory_.revision(); },
+        [this](const EndpointList& list) { on_endpoint_list(list); }, [this] { start_serving(); },
+        DiscoveryWatch::CallPacing{config.settings.relay_count, !config.settings.list_needs_watch,
+                                   config.seed});
   }
-  config_.settings = within_descriptors(config_);
-  journal_.remember(fact::kClock, clock_.text());
+  config_.settings = limit_concurrent_calls(config_);
+  journal_.record_fact(fact::kClock, clock_.text());
   recover_endpoints();
-  on_endpoint_list(config_.known);
-  if (config.fleet) follow_registry();
-  if (handover_.taken_over()) take_over();
+  on_endpoint_list(config_.known_endpoints);
+  if (config.list_follower) follow_registry();
+  if (handover_.has_predecessor()) take_over();
   handover_.await_successor([this] { hand_over(); });
   // After a handover clients are waiting, and the predecessor has followed discovery up to now.
-  open_timer_.expires_after(std::chrono::microseconds(handover_.taken_over() ? 0 : kFirstListTimeout));
-  open_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) open();
+  start_timer_.expires_after(std::chrono::microseconds(handover_.has_predecessor() ? 0 : kFirstListTimeout));
+  start_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) start_serving();
   });
 }
 
 // Recovers the messages and starts to accept new ones. Runs once discovery has sent its current list, or
 // after kFirstListTimeout.
-void Relay::open() {
+void Relay::start_serving() {
   if (clients_ || stopping_since_ != 0 || handed_over_) return;
-  if (!std::exchange(recovered_, true)) recover_messages();
-  if (!open_clients()) return;
+  if (!std::exchange(messages_recovered_, true)) recover_messages();
+  if (!open_listener()) return;
   forget_unused_terms();
   listen_to_predecessor();
   if (draining_) clients_->drain();
-  listening_(clients_->address());
+  on_listening_(clients_->address());
 }
 
 // Opens the listener and returns whether it is open. A predecessor that did not hand its listener over may
 // hold the address for a moment longer; until listen_retry_deadline_ a failure schedules another try.
-bool Relay::open_clients() {
+bool Relay::open_listener() {
   try {
     clients_.emplace(
         io_, config_.listen, max_clients(config_),
-        [this](SubmittedMessage message, Clients::Answer answer) {
+        [this](SubmittedMessage message, Clients::AnswerHandler answer) {
           accept_message(std::move(message), std::move(answer));
         },
-        listener_.release());
+        inherited_listener_.release());
     return true;
-  } catch (const net::CannotListen&) {
-    if (steady_now() >= listen_by_) throw;
+  } catch (const net::ListenError&) {
+    if (steady_now() >= listen_retry_deadline_) throw;
   }
-  open_timer_.expires_after(kListenRetryDelay);
-  open_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) open();
+  start_timer_.expires_after(kListenRetryDelay);
+  start_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) start_serving();
   });
   return false;
 }
@@ -147,9 +149,9 @@
   };
   try {
     Config next = load_config();
-    require_keys(config_.text, next.text);
+    require_keys(config_.file_text, next.file_text);
     retired_classes_.retire(config_.settings, next.settings, steady_now());
-    apply(next);
+    apply_config(next);
     ++metrics_.reload_success;
     net::log::info("reloaded");
   } catch (const net::Error& error) {
@@ -159,15 +161,15 @@
   }
 }
 
-void Relay::apply(const Config& next) {
+void Relay::apply_config(const Config& next) {
   const bool renamed = !(next.names == config_.names);
   std::vector<int> zones = map_zones(config_.names.zones, next.names.zones);
   config_.discovery = next.discovery;
   config_.settings = next.settings;
-  config_.settings = within_descriptors(config_);
+  config_.settings = limit_concurrent_calls(config_);
   config_.names = next.names;
   config_.report_fields = next.report_fields;
-  config_.text = next.text;
+  config_.file_text = next.file_text;
   for (auto& [id, inherited] : inherited_attempts_) {
     if (!inherited.deferred) continue;
     int& zone = inherited.deferred->arrival.possibly_run_zone;
@@ -177,19 +179,19 @@
   forget_unused_terms();
   note_excess_messages();
   queue_event(policy::SettingsChanged{policy_settings(), std::move(zones)});
-  if (clients_) clients_->limit(max_clients(config_));
-  upstream_.set(upstream_limits(config_), config_.report_fields);
+  if (clients_) clients_->set_max_sessions(max_clients(config_));
+  upstream_.set_limits(upstream_limits(config_), config_.report_fields);
   if (renamed) {
-    if (watch_) watch_->rename(config_.names);
-    on_endpoint_list(directory_.read_again(config_.names));
+    if (watch_) watch_->set_names(config_.names);
+    on_endpoint_list(directory_.reparse(config_.names));
   }
-  if (watch_) watch_->move(config_.discovery);
-  notices_.move(config_.discovery);
+  if (watch_) watch_->set_address(config_.discovery);
+  notices_.set_address(config_.discovery);
 }
 
 void Relay::note_excess_messages() {
   if (messages_.size() > static_cast<size_t>(config_.settings.max_pending_messages))
-    last_excess_ = messages_.last_number();
+    last_excess_number_ = messages_.last_number();
 }
 
 // Returns the settings for the policy. A lowered max_pending_messages applies to new messages only: those
@@ -197,7 +199,7 @@
 // raised so that it rejects none of them for lack of room.
 std::shared_ptr<policy::Settings> Relay::policy_settings() const {
   auto settings = std::make_shared<policy::Settings>(config_.settings);
-  if (last_excess_ != 0) {
+  if (last_excess_number_ != 0) {
     settings->max_pending_messages =
         std::max(settings->max_pending_messages, 2 * static_cast<int>(messages_.size()));
   }
@@ -209,22 +211,22 @@
   stopping_since_ = steady_now();
   net::log::info("stopping", "held", messages_.size(), "handed_over", handed_over_ ? 1 : 0);
   if (handed_over_) return;  // poll_shutdown() already ends the process as soon as possible
-  queue_event(policy::ShutdownScheduled{calls_end_by()});
-  wait_for_end();
+  queue_event(policy::ShutdownScheduled{call_end_deadline()});
+  poll_shutdown();
 }
 
-Time Relay::calls_end_by() const {
+Time Relay::call_end_deadline() const {
   return stopping_since_ == 0 ? std::numeric_limits<Time>::max() : stopping_since_ + kCallsEndAfterStop;
 }
 
-bool Relay::handed_over_and_done() const {
+bool Relay::is_handover_complete() const {
   return handed_over_ && upstream_.in_flight_count() == 0 && inherited_attempts_.empty() &&
-         (!clients_ || clients_->answered());
+         (!clients_ || clients_->has_answered_all());
 }
 
-bool Relay::idle() const {
-  return !handed_over_ && messages_.empty() && final_answers_.idle() && notices_.empty() &&
-         (!clients_ || clients_->ended());
+bool Relay::is_idle() const {
+  return !handed_over_ && messages_.empty() && final_answers_.is_idle() && notices_.empty() &&
+         (!clients_ || clients_->has_ended());
 }
 
 void Relay::finish_clients() {
@@ -233,22 +235,22 @@
   if (clients_) clients_->finish();
 }
 
-void Relay::wait_for_end() {
+void Relay::poll_shutdown() {
   if (handed_over_ && !handover_.has_successor()) cancel_all_calls();
-  if (handed_over_and_done()) return io_.stop();
+  if (is_handover_complete()) return io_.stop();
   const Time age = stopping_since_ == 0 ? 0 : steady_now() - stopping_since_;
   if (age >= kServeAfterStop && !handed_over_) finish_clients();
-  if (clients_finished_ && idle()) return io_.stop();
+  if (clients_finished_ && is_idle()) return io_.stop();
   const bool calls_ended = age >= kCallsEndAfterStop;
   if (calls_ended) {  // a request that has been read still gets its reply
-    if (clients_) clients_->read_no_more();
-    const bool answered = !step_posted_ && (!clients_ || clients_->answered());
+    if (clients_) clients_->stop_reading();
+    const bool answered = !step_posted_ && (!clients_ || clients_->has_answered_all());
     if (answered || age >= kExitAfterStop) return io_.stop();
   }
   stop_timer_.expires_after(
       std::chrono::microseconds(calls_ended ? kFinalStopPollInterval : kStopPollInterval));
   stop_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) wait_for_end();
+    if (!error) poll_shutdown();
   });
 }
 
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -75,7 +75,7 @@
 
   // An attempt in a call that the predecessor still has in flight.
   struct InheritedAttempt {
-    uint64_t number = 0;  // 0: the message is not recovered yet
+    uint64_t message_number = 0;  // 0: the message is not recovered yet
     int attempt = 0;
     policy::MessageArrived::InFlightCall call;
     // Set if the endpoint is no longer listed: the policy receives the message once the call has ended.
@@ -84,28 +84,28 @@
 
   // A submission of this turn on which the policy has not decided yet.
   struct Submission {
-    uint64_t number = 0;
-    Clients::Answer answer;
+    uint64_t message_number = 0;
+    Clients::AnswerHandler answer;
   };
 
   // Lifecycle, reload and shutdown: relay.cpp.
-  void open();
-  bool open_clients();
-  void apply(const Config& next);
+  void start_serving();
+  bool open_listener();
+  void apply_config(const Config& next);
   void note_excess_messages();
   std::shared_ptr<policy::Settings> policy_settings() const;
-  Time calls_end_by() const;
+  Time call_end_deadline() const;
   void finish_clients();
-  void wait_for_end();
-  bool handed_over_and_done() const;
-  bool idle() const;
+  void poll_shutdown();
+  bool is_handover_complete() const;
+  bool is_idle() const;
 
   // The list of endpoints: relay_endpoints.cpp.
   void follow_registry();
   void on_registry_list(const nlohmann::json& line);
-  void on_endpoint_list(const HostList& list);
-  void record_endpoint(const ListedHost& listed);
-  void forget_gone(const Endpoint& endpoint);
+  void on_endpoint_list(const EndpointList& list);
+  void record_endpoint(const ListedEndpoint& listed);
+  void forget_if_removed(const Endpoint& endpoint);
   void on_endpoint_idle(const Endpoint& endpoint);
   Route route_of(const policy::EndpointInfo& endpoint) const;
 
@@ -115,19 +115,19 @@
   policy::DestinationState recovered_state(const std::string& name, const nlohmann::json& value) const;
   void recover_messages();
   void recover_ordering_holds(Recovery& recovery);
-  void recover_final_answer(const Recovered& entry);
-  void recover_message(const Recovered& entry, Recovery& recovery);
-  InheritedAttempt* find_inherited(const Recovered& entry);
+  void recover_final_answer(const JournaledMessage& entry);
+  void recover_message(const JournaledMessage& entry, Recovery& recovery);
+  InheritedAttempt* find_inherited(const JournaledMessage& entry);
   bool resume_inherited(RecoveredMessage& message, InheritedAttempt& inherited);
-  std::optional<policy::AttemptEnded> interrupted_call(policy::MessageArrived& arrival) const;
-  void arrive(const std::vector<RecoveredMessage>& messages);
+  std::optional<policy::AttemptEnded> add_interrupted_call(policy::MessageArrived& arrival) const;
+  void queue_arrivals(const std::vector<RecoveredMessage>& messages);
   int zone_of(const RecordedAttempt& attempt) const;
-  void persist(const policy::DestinationState& state);
+  void persist_destination_state(const policy::DestinationState& state);
 
   // Submission, delivery terms and ordering of messages: relay_submission.cpp.
-  void accept_message(SubmittedMessage message, Clients::Answer answer);
-  std::optional<std::string> rejection(const SubmittedMessage& message);
-  void submit(SubmittedMessage message, Clients::Answer answer);
+  void accept_message(SubmittedMessage message, Clients::AnswerHandler answer);
+  std::optional<std::string> rejection_reply(const SubmittedMessage& message);
+  void submit(SubmittedMessage message, Clients::AnswerHandler answer);
   void answer_submissions(const std::vector<policy::Action>& actions);
   std::string decide_submission(uint64_t number, const std::map<uint64_t, std::string>& rejections);
   DeliveryTerms terms_of(const PendingMessage& message) const;
@@ -143,16 +143,16 @@
   void schedule_timer();
   void carry_out(const policy::Action& action);
   void send_attempt(const policy::SendAttempt& action);
-  void attempt_not_started(const policy::SendAttempt& action, PendingMessage* message);
+  void report_attempt_not_started(const policy::SendAttempt& action, PendingMessage* message);
   void cancel_attempt(const policy::Cancel& action);
   void send_health_check(const policy::SendHealthCheck& action);
-  void add_to_batch(Call call, int kind);
-  void start_call(std::vector<Call> batch);
-  bool may_start(const Call& call);
+  void add_to_batch(AttemptRequest call, int kind);
+  void start_call(std::vector<AttemptRequest> batch);
+  bool may_start(const AttemptRequest& call);
   void on_attempt_ended(const policy::AttemptEnded& end, bool call_started);
-  void note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message);
+  void apply_retry_after(const policy::AttemptEnded& end, const PendingMessage* message);
   void record_attempt_end(const policy::AttemptEnded& end, bool call_started, const PendingMessage& message);
-  void finish(uint64_t number, std::optional<FinalAnswer> answer);
+  void finish_message(uint64_t number, std::optional<FinalAnswer> answer);
 
   // Handover from the predecessor and to the successor: relay_handover.cpp.
   void take_over();
@@ -162,36 +162,37 @@
   void on_predecessor_frame(std::optional<HandoverFrame> frame);
   void take_client(HandoverFrame frame);
   void reject_frame(const HandoverFrameInvalid& error);
-  void on_predecessor_gone();
+  void on_predecessor_disconnected();
   void on_inherited_attempt_ended(const std::string& id, policy::AttemptEnded end, bool call_started);
-  void arrive_deferred(const InheritedAttempt& inherited, const policy::AttemptEnded& end, bool call_started);
+  void queue_deferred_arrival(const InheritedAttempt& inherited, const policy::AttemptEnded& end,
+                              bool call_started);
   void hand_over();
   void send_in_flight_calls();
   void send_listener();
   void send_clients();
   void on_successor_frame(const std::optional<HandoverFrame>& frame);
-  void pass_on(const std::string& id, const policy::AttemptEnded& end, bool call_started);
+  void forward_attempt_end(const std::string& id, const policy::AttemptEnded& end, bool call_started);
   void cancel_all_calls();
 
   // Operator requests: relay_operators.cpp.
-  OperatorReply operate(const OperatorCall& call);
-  OperatorReply readiness() const;
-  OperatorReply set_draining(bool draining);
-  OperatorReply suspend(const std::string& id, bool suspended);
-  void fence(const LeaseClaim& claim);
+  OperatorResponse handle_operator_call(const OperatorRequest& call);
+  OperatorResponse readiness() const;
+  OperatorResponse set_draining(bool draining);
+  OperatorResponse set_suspended(const std::string& id, bool suspended);
+  void raise_fencing_token(const LeaseClaim& claim);
   Metrics metrics() const;
 
   boost::asio::io_context& io_;
   Config config_;
   RetiredClasses retired_classes_;
-  Directory directory_;
+  EndpointTable directory_;
   // Constructed before handover_, so that a taken address fails before the folder is taken over.
-  std::unique_ptr<Control> control_;
+  std::unique_ptr<ControlServer> control_;
   Handover handover_;
   bool handed_over_ = false;  // the successor owns all but the calls in flight
   std::map<std::string, InheritedAttempt> inherited_attempts_;  // by message id
   uint64_t inherited_calls_ = 0;
-  Descriptor listener_;  // the predecessor's, until clients_ uses it
+  Descriptor inherited_listener_;  // the predecessor's, until clients_ uses it
   Journal journal_;
   DurableClock clock_;  // for all times in the journal
   DeliveryTermsStore delivery_terms_;
@@ -202,7 +203,7 @@
   std::vector<Submission> submissions_;
   bool step_posted_ = false;
   PendingMessages messages_;
-  uint64_t last_excess_ = 0;  // last message accepted under a higher max_pending_messages; 0: none
+  uint64_t last_excess_number_ = 0;  // last message accepted under a higher max_pending_messages; 0: none
   RouteWaits route_waits_;
   CallBatches batches_;
   std::map<Endpoint, int> in_flight_;  // attempts and health checks
@@ -212,17 +213,17 @@
   boost::asio::steady_timer stop_timer_;
   Time stopping_since_ = 0;  // 0: not stopping
   bool clients_finished_ = false;
-  Notices notices_;
+  NoticeSender notices_;
   FinalAnswerPublisher final_answers_;
   Upstream upstream_;
-  std::optional<Watch> watch_;                      // set if discovery sends the list
+  std::optional<DiscoveryWatch> watch_;             // set if discovery sends the list
   std::optional<registry::ListFollower> follower_;  // set if the registry sends the list
   std::string list_identity_;                       // of the registry's list; empty: the list is discovery's
-  std::function<void(const tcp::endpoint&)> listening_;
-  boost::asio::steady_timer open_timer_;
-  bool recovered_ = false;          // recover_messages() has run
-  Time listen_by_ = 0;              // until then the predecessor may still hold the address
-  std::optional<Clients> clients_;  // set once messages are recovered and the listener is open
+  std::function<void(const tcp::endpoint&)> on_listening_;
+  boost::asio::steady_timer start_timer_;
+  bool messages_recovered_ = false;  // recover_messages() has run
+  Time listen_retry_deadline_ = 0;   // until then the predecessor may still hold the address
+  std::optional<Clients> clients_;   // set once messages are recovered and the listener is open
   bool draining_ = false;
   Metrics metrics_;  // the relay's own counters; metrics() adds the rest
 };
--- a/relay/relay_dispatch.cpp
+++ b/relay/relay_dispatch.cpp
@@ -51,7 +51,7 @@
   policy_.step(steady_now(), events, actions);
   answer_submissions(actions);
   for (const policy::Action& action : actions) carry_out(action);
-  for (std::vector<Call>& batch : batches_.take_all()) start_call(std::move(batch));
+  for (std::vector<AttemptRequest>& batch : batches_.take_all()) start_call(std::move(batch));
   schedule_timer();
 }
 
@@ -72,10 +72,11 @@
     send_attempt(*send);
   } else if (const auto* reject = std::get_if<policy::Reject>(&action)) {
     const PendingMessage* message = messages_.find(reject->id);
-    if (message != nullptr) finish(reject->id, FinalAnswer{message->submitted.id, true, reject->retry_after});
+    if (message != nullptr)
+      finish_message(reject->id, FinalAnswer{message->submitted.id, true, reject->retry_after});
   } else if (const auto* fail = std::get_if<policy::Fail>(&action)) {
     const PendingMessage* message = messages_.find(fail->id);
-    if (message != nullptr) finish(fail->id, FinalAnswer{message->submitted.id, false, 0});
+    if (message != nullptr) finish_message(fail->id, FinalAnswer{message->submitted.id, false, 0});
   } else if (const auto* cancel = std::get_if<policy::Cancel>(&action)) {
     cancel_attempt(*cancel);
   } else if (const auto* check = std::get_if<policy::SendHealthCheck>(&action)) {
@@ -85,7 +86,7 @@
   } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
     wake_at_ = timer->at;  // each step that needs a timer sets it, so only the latest counts
   } else if (const auto* persist_state = std::get_if<policy::PersistDestinationState>(&action)) {
-    persist(persist_state->state);
+    persist_destination_state(persist_state->state);
   } else if (const auto* log = std::get_if<policy::Log>(&action)) {
     net::log::info("decision", "text", log->text);
   }
@@ -93,26 +94,26 @@
 
 void Relay::send_attempt(const policy::SendAttempt& action) {
   PendingMessage* message = messages_.find(action.id);
-  const ListedHost* listed = directory_.find(action.endpoint);
-  if (message == nullptr || listed == nullptr) return attempt_not_started(action, message);
-  Call call;
+  const ListedEndpoint* listed = directory_.find(action.endpoint);
+  if (message == nullptr || listed == nullptr) return report_attempt_not_started(action, message);
+  AttemptRequest call;
   call.id = action.id;
   call.endpoint = action.endpoint;
   call.attempt = message->attempts++;
   call.address = listed->address;
   call.call_id = message->submitted.id;
-  call.key = message->submitted.key;
+  call.idempotency_key = message->submitted.idempotency_key;
   call.body = message->submitted.body;
   call.timeout = action.timeout;
   call.start_by = action.latest_start;
-  call.last = steady_now() + action.timeout >= message->deadline;
+  call.is_last_attempt = steady_now() + action.timeout >= message->deadline;
   ++in_flight_[call.endpoint];
-  add_to_batch(std::move(call), listed->member.kind);
+  add_to_batch(std::move(call), listed->info.kind);
 }
 
 // Reports an attempt that did not start: its endpoint is forgotten, or the message was rejected in this turn
 // for lack of room.
-void Relay::attempt_not_started(const policy::SendAttempt& action, PendingMessage* message) {
+void Relay::report_attempt_not_started(const policy::SendAttempt& action, PendingMessage* message) {
   policy::AttemptEnded end;
   end.id = action.id;
   end.endpoint = action.endpoint;
@@ -131,7 +132,7 @@
 }
 
 void Relay::send_health_check(const policy::SendHealthCheck& action) {
-  const ListedHost* listed = directory_.find(action.endpoint);
+  const ListedEndpoint* listed = directory_.find(action.endpoint);
   if (listed == nullptr) return queue_event(policy::HealthCheckEnded{action.endpoint, false, 0, {}});
   ++in_flight_[action.endpoint];
   upstream_.check_health(action.endpoint, listed->address);
@@ -140,19 +141,19 @@
 // Adds the message to its endpoint's batch if the endpoint's kind allows batches. The policy relies on this:
 // it counts all messages that go to an endpoint in one turn as one call, against its limits on concurrent
 // calls and on the endpoint.
-void Relay::add_to_batch(Call call, int kind) {
+void Relay::add_to_batch(AttemptRequest call, int kind) {
   const auto& kinds = config_.settings.kinds;
   const size_t max_messages =
       kind < static_cast<int>(kinds.size()) ? static_cast<size_t>(kinds[kind].max_batch_size) : 1;
   if (max_messages <= 1) return upstream_.call(std::move(call));
-  std::vector<Call> full = batches_.add(std::move(call), max_messages);
+  std::vector<AttemptRequest> full = batches_.add(std::move(call), max_messages);
   if (!full.empty()) start_call(std::move(full));
 }
 
 // Starts a call with its messages by descending deadline. The first message's timeout is the endpoint's time
 // for the whole call; a response after it counts for no message, even for one with time left.
-void Relay::start_call(std::vector<Call> batch) {
-  std::stable_sort(batch.begin(), batch.end(), [this](const Call& a, const Call& b) {
+void Relay::start_call(std::vector<AttemptRequest> batch) {
+  std::stable_sort(batch.begin(), batch.end(), [this](const AttemptRequest& a, const AttemptRequest& b) {
     return messages_.find(a.id)->deadline > messages_.find(b.id)->deadline;
   });
   upstream_.call(std::move(batch));
@@ -161,29 +162,29 @@
 // Returns whether an attempt may start, right before its call's first byte, and records it in the journal.
 // While the connection was being opened the endpoint may have been drained, a call to its destination may
 // have returned Retry-After, or the message may have ended.
-bool Relay::may_start(const Call& call) {
+bool Relay::may_start(const AttemptRequest& call) {
   const PendingMessage* message = messages_.find(call.id);
   const Time now = steady_now();
-  if (handed_over_ || message == nullptr || !directory_.active(call.endpoint) || now > call.start_by)
+  if (handed_over_ || message == nullptr || !directory_.is_active(call.endpoint) || now > call.start_by)
     return false;
-  const ListedHost* listed = directory_.find(call.endpoint);
-  if (route_waits_.waits(route_of(listed->member), now)) return false;
+  const ListedEndpoint* listed = directory_.find(call.endpoint);
+  if (route_waits_.is_waiting(route_of(listed->info), now)) return false;
   if (!is_next_in_order(*message)) return false;
   net::log::debug("call", "id", message->submitted.id, "attempt", call.attempt, "destination",
                   message->submitted.destination, "host", listed->id, "timeout_ms", call.timeout / kMs);
-  const auto zone = static_cast<size_t>(listed->member.zone);
+  const auto zone = static_cast<size_t>(listed->info.zone);
   const auto& zones = config_.names.zones;
-  return journal_.record_attempt(message->submitted.id, call.attempt, clock_.now(), listed->member.zone,
+  return journal_.record_attempt(message->submitted.id, call.attempt, clock_.now(), listed->info.zone,
                                  zone < zones.size() ? zones[zone] : "");
 }
 
 void Relay::on_attempt_ended(const policy::AttemptEnded& end, bool call_started) {
   const PendingMessage* message = messages_.find(end.id);
   if (handed_over_) {
-    if (message != nullptr) pass_on(message->submitted.id, end, call_started);
+    if (message != nullptr) forward_attempt_end(message->submitted.id, end, call_started);
     return;
   }
-  note_retry_after(end, message);
+  apply_retry_after(end, message);
   if (message != nullptr) record_attempt_end(end, call_started, *message);
   policy::AttemptEnded event = end;
   event.call_started = call_started;
@@ -194,19 +195,19 @@
 // Extends a route's wait by the attempt's Retry-After. That of an endpoint that is no longer listed applies
 // to its destination; if endpoints are independent, such a wait has no effect, as the endpoint's route is
 // gone.
-void Relay::note_retry_after(const policy::AttemptEnded& end, const PendingMessage* message) {
+void Relay::apply_retry_after(const policy::AttemptEnded& end, const PendingMessage* message) {
   if (end.retry_after <= 0) return;
-  const ListedHost* listed = directory_.find(end.endpoint);
+  const ListedEndpoint* listed = directory_.find(end.endpoint);
   if (listed == nullptr && message == nullptr) return;
   const Route route =
-      listed != nullptr ? route_of(listed->member) : Route{message->submitted.destination, Endpoint{}};
+      listed != nullptr ? route_of(listed->info) : Route{message->submitted.destination, Endpoint{}};
   route_waits_.extend(route, steady_now() + end.retry_after);
 }
 
 void Relay::record_attempt_end(const policy::AttemptEnded& end, bool call_started,
                                const PendingMessage& message) {
   const SubmittedMessage& submitted = message.submitted;
-  const ListedHost* listed = directory_.find(end.endpoint);
+  const ListedEndpoint* listed = directory_.find(end.endpoint);
   net::log::debug("call_ended", "id", submitted.id, "attempt", end.attempt, "destination",
                   submitted.destination, "host", listed == nullptr ? "" : listed->id.c_str(), "outcome",
                   log_name(end.outcome), "took_ms", end.latency / kMs, "wait_ms", end.retry_after / kMs,
@@ -215,14 +216,14 @@
     ordering_.hold(submitted.ordering_key, config_.settings.ordering_pause);
   if (end.final) {
     if (end.outcome == policy::Outcome::kOk) ++metrics_.classes[submitted.message_class].success;
-    finish(end.id, {});
+    finish_message(end.id, {});
   } else if (call_started && never_ran(end.outcome)) {
     journal_.record_not_started(submitted.id, end.attempt);
   }
 }
 
 // Ends a message. A final answer, if there is one, remains to be acknowledged.
-void Relay::finish(uint64_t number, std::optional<FinalAnswer> answer) {
+void Relay::finish_message(uint64_t number, std::optional<FinalAnswer> answer) {
   const PendingMessage& message = *messages_.find(number);
   const SubmittedMessage& submitted = message.submitted;
   net::log::debug("end", "id", submitted.id, "destination", submitted.destination, "state", log_state(answer),
@@ -237,10 +238,10 @@
     journal_.record_acknowledged(submitted.id);
   }
   messages_.erase(number);
-  if (last_excess_ == 0) return;
-  const size_t excess = messages_.count_up_to(last_excess_);
+  if (last_excess_number_ == 0) return;
+  const size_t excess = messages_.count_up_to(last_excess_number_);
   if (2 * excess > static_cast<size_t>(config_.settings.max_pending_messages)) return;
-  last_excess_ = 0;
+  last_excess_number_ = 0;
   queue_event(policy::SettingsChanged{policy_settings(), {}});
 }
 
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -25,7 +25,7 @@
       if (frame->kind == HandoverFrame::kCall) take_call(InFlightCallFrame::parse(frame->text));
     } catch (const HandoverFrameInvalid& error) {
       reject_frame(error);
-      if (is_last) listen_by_ = steady_now() + kListenRetryPeriod;
+      if (is_last) listen_retry_deadline_ = steady_now() + kListenRetryPeriod;
     }
     if (is_last) return;
   }
@@ -38,11 +38,11 @@
   if (!is_stream_socket(frame.descriptor.get(), true))
     throw HandoverFrameInvalid(frame.kind, "carries no listening socket");
   const bool same = config_.listen.port() == 0 || frame.text == net::text_of(config_.listen);
-  if (same) listener_ = std::move(frame.descriptor);
+  if (same) inherited_listener_ = std::move(frame.descriptor);
 }
 
 void Relay::take_call(const InFlightCallFrame& call) {
-  const Endpoint endpoint = directory_.handle(call.host_id);
+  const Endpoint endpoint = directory_.handle(call.endpoint_id);
   const Time started_at = std::min(call.started_at, steady_now());
   ++inherited_calls_;
   for (const auto& [id, attempt] : call.attempt_numbers)
@@ -61,7 +61,7 @@
 // Handles a frame from the predecessor. No content of a frame may end this process, which now owns all that
 // the predecessor had.
 void Relay::on_predecessor_frame(std::optional<HandoverFrame> frame) {
-  if (!frame) return on_predecessor_gone();
+  if (!frame) return on_predecessor_disconnected();
   try {
     if (frame->truncated) throw HandoverFrameInvalid(frame->kind, "truncated in transit");
     if (frame->kind == HandoverFrame::kClient) {
@@ -92,7 +92,7 @@
 }
 
 // Ends the attempts that the predecessor had in flight with a reset, as they may have run.
-void Relay::on_predecessor_gone() {
+void Relay::on_predecessor_disconnected() {
   while (!inherited_attempts_.empty()) {
     policy::AttemptEnded lost;
     lost.outcome = policy::Outcome::kReset;
@@ -106,16 +106,16 @@
   if (found == inherited_attempts_.end()) return;
   const InheritedAttempt inherited = std::move(found->second);
   inherited_attempts_.erase(found);
-  end.id = inherited.number;
+  end.id = inherited.message_number;
   end.attempt = inherited.attempt;
   end.endpoint = inherited.call.endpoint;
-  if (handed_over_) return pass_on(id, end, call_started);
+  if (handed_over_) return forward_attempt_end(id, end, call_started);
   on_attempt_ended(end, call_started);
-  if (inherited.deferred && !end.final) arrive_deferred(inherited, end, call_started);
+  if (inherited.deferred && !end.final) queue_deferred_arrival(inherited, end, call_started);
 }
 
-void Relay::arrive_deferred(const InheritedAttempt& inherited, const policy::AttemptEnded& end,
-                            bool call_started) {
+void Relay::queue_deferred_arrival(const InheritedAttempt& inherited, const policy::AttemptEnded& end,
+                                   bool call_started) {
   RecoveredMessage message = *inherited.deferred;
   policy::MessageArrived& arrival = message.arrival;
   arrival.ahead_in_order = true;
@@ -123,7 +123,7 @@
     arrival.may_have_run = true;
     arrival.possibly_run_since = inherited.call.sent;
   }
-  arrive({std::move(message)});
+  queue_arrivals({std::move(message)});
 }
 
 // Hands everything but the calls in flight over to the successor in one turn; the ends of those calls follow.
@@ -133,7 +133,7 @@
   // Without the records for which the disk had no room, the successor would recover messages that have ended.
   if (!journal_.write_pending() || !handover_.send_folder_lock()) {
     handover_.drop_successor();
-    return queue_event(policy::ShutdownScheduled{calls_end_by()});
+    return queue_event(policy::ShutdownScheduled{call_end_deadline()});
   }
   handed_over_ = true;
   final_answers_.stop();
@@ -148,12 +148,12 @@
   if (follower_) follower_->close();
   notices_.close();
   upstream_.close_idle();
-  wait_for_end();
+  poll_shutdown();
 }
 
 void Relay::send_in_flight_calls() {
   const auto send = [this](const Endpoint& endpoint, Time started_at, std::map<std::string, int> attempts) {
-    const ListedHost* listed = directory_.find(endpoint);
+    const ListedEndpoint* listed = directory_.find(endpoint);
     const InFlightCallFrame frame{listed == nullptr ? "" : listed->id, started_at, std::move(attempts)};
     handover_.send_frame(HandoverFrame::kCall, frame.text());
   };
@@ -170,7 +170,7 @@
 }
 
 void Relay::send_listener() {
-  const int listener = clients_ ? clients_->listener() : listener_.get();
+  const int listener = clients_ ? clients_->listener() : inherited_listener_.get();
   std::string address;  // empty for a closed listener
   if (listener >= 0) address = net::text_of(clients_ ? clients_->address() : config_.listen);
   handover_.send_frame(HandoverFrame::kListener, address, listener);
@@ -185,7 +185,7 @@
     });
   }
   listen_to_predecessor();
-  listener_ = Descriptor();
+  inherited_listener_ = Descriptor();
 }
 
 void Relay::on_successor_frame(const std::optional<HandoverFrame>& frame) {
@@ -196,7 +196,7 @@
   if (number) upstream_.cancel(*number, messages_.find(*number)->attempts - 1);
 }
 
-void Relay::pass_on(const std::string& id, const policy::AttemptEnded& end, bool call_started) {
+void Relay::forward_attempt_end(const std::string& id, const policy::AttemptEnded& end, bool call_started) {
   handover_.send_frame(HandoverFrame::kEnded, AttemptEndedFrame{id, end, call_started}.text());
 }
 
--- a/relay/relay_operators.cpp
+++ b/relay/relay_operators.cpp
@@ -8,37 +8,37 @@
 
 namespace turntally::relay {
 
-OperatorReply Relay::operate(const OperatorCall& call) {
-  if (handed_over_ && call.what != OperatorCall::What::kMetrics) return {503, "handed over\n"};
-  if (call.claim) fence(*call.claim);
+OperatorResponse Relay::handle_operator_call(const OperatorRequest& call) {
+  if (handed_over_ && call.action != OperatorRequest::Action::kMetrics) return {503, "handed over\n"};
+  if (call.claim) raise_fencing_token(*call.claim);
   if (call.claim && call.claim->raise_only) {
     const nlohmann::ordered_json raised = {{"lease", call.claim->lease}, {"token", call.claim->token}};
     return {200, raised.dump() + "\n", true};
   }
-  switch (call.what) {
-    case OperatorCall::What::kReady:
+  switch (call.action) {
+    case OperatorRequest::Action::kReady:
       return readiness();
-    case OperatorCall::What::kDrain:
+    case OperatorRequest::Action::kDrain:
       return set_draining(true);
-    case OperatorCall::What::kActivate:
+    case OperatorRequest::Action::kActivate:
       return set_draining(false);
-    case OperatorCall::What::kMetrics:
+    case OperatorRequest::Action::kMetrics:
       return {200, metrics().text()};
-    case OperatorCall::What::kSuspend:
-    case OperatorCall::What::kResume:
-    case OperatorCall::What::kFence:  // always has a claim and is answered above
+    case OperatorRequest::Action::kSuspend:
+    case OperatorRequest::Action::kResume:
+    case OperatorRequest::Action::kFence:  // always has a claim and is answered above
       break;
   }
-  return suspend(call.id, call.what == OperatorCall::What::kSuspend);
+  return set_suspended(call.endpoint_id, call.action == OperatorRequest::Action::kSuspend);
 }
 
-OperatorReply Relay::readiness() const {
+OperatorResponse Relay::readiness() const {
   if (!clients_) return {503, "starting\n"};
   if (stopping_since_ != 0) return {503, "stopping\n"};
-  return draining_ ? OperatorReply{503, "draining\n"} : OperatorReply{200, "ready\n"};
+  return draining_ ? OperatorResponse{503, "draining\n"} : OperatorResponse{200, "ready\n"};
 }
 
-OperatorReply Relay::set_draining(bool draining) {
+OperatorResponse Relay::set_draining(bool draining) {
   draining_ = draining;
   if (clients_) draining ? clients_->drain() : clients_->activate();
   return {200, draining ? "draining\n" : "active\n"};
@@ -46,10 +46,11 @@
 
 // Raises the lease's highest token and stores it on the disk before anything is done under it. Otherwise an
 // earlier holder could act after a later one if the relay restarts between the two.
-void Relay::fence(const LeaseClaim& claim) {
+void Relay::raise_fencing_token(const LeaseClaim& claim) {
   try {
     fencing_tokens_.raise(claim);
-    if (!journal_.remember_synced(claim.lease, std::to_string(claim.token))) throw FenceNotKept(claim.lease);
+    if (!journal_.record_synced_fact(claim.lease, std::to_string(claim.token)))
+      throw FencingTokenNotStored(claim.lease);
   } catch (const FenceError& error) {
     net::log::warn(error.code(), "lease", claim.lease, "token", claim.token);
     throw;
@@ -57,15 +58,15 @@
 }
 
 // Suspends or resumes an endpoint. A suspended endpoint can be resumed even while it is not listed.
-OperatorReply Relay::suspend(const std::string& id, bool suspended) {
-  const ListedHost* listed = directory_.find(directory_.handle(id));
-  const bool is_listed = listed != nullptr && listed->member.listing != policy::Listing::kGone;
-  if (!is_listed && !directory_.suspended(id)) return {404, "no such endpoint\n"};
+OperatorResponse Relay::set_suspended(const std::string& id, bool suspended) {
+  const ListedEndpoint* listed = directory_.find(directory_.handle(id));
+  const bool is_listed = listed != nullptr && listed->info.listing != policy::Listing::kGone;
+  if (!is_listed && !directory_.is_suspended(id)) return {404, "no such endpoint\n"};
   suspended ? directory_.suspend(id) : directory_.resume(id);
-  journal_.remember(fact::kSuspended + id, suspended ? "1" : "");
+  journal_.record_fact(fact::kSuspended + id, suspended ? "1" : "");
   if (listed != nullptr) {
-    if (suspended) upstream_.close_idle(listed->member.endpoint);
-    queue_event(policy::EndpointSuspended{listed->member.endpoint, suspended});
+    if (suspended) upstream_.close_idle(listed->info.endpoint);
+    queue_event(policy::EndpointSuspended{listed->info.endpoint, suspended});
   }
   return {200, suspended ? "suspended\n" : "resumed\n"};
 }
@@ -73,18 +74,19 @@
 Metrics Relay::metrics() const {
   Metrics metrics = metrics_;
   for (const policy::ClassSettings& entry : config_.settings.classes) metrics.classes.try_emplace(entry.name);
-  metrics.dispatches = upstream_.written();
+  metrics.dispatches = upstream_.messages_written();
   metrics.concurrent = handed_over_ ? 0 : messages_.accepted_count();
-  const auto& endpoints = directory_.hosts();
+  const auto& endpoints = directory_.endpoints();
   metrics.targets =
       static_cast<size_t>(std::count_if(endpoints.begin(), endpoints.end(), [](const auto& listed) {
-        return listed.second.member.listing != policy::Listing::kGone;
+        return listed.second.info.listing != policy::Listing::kGone;
       }));
-  metrics.targets_disabled = policy_.ejected_endpoints(steady_now());
+  metrics.targets_disabled = policy_.count_ejected_endpoints(steady_now());
   if (follower_) {
     metrics.registry =
-        RegistryMetrics{static_cast<double>(follower_->heard_ms()) / 1000, follower_->guard().holds(),
-                        follower_->guard().held_total(), follower_->moves()};
+        RegistryMetrics{static_cast<double>(follower_->confirmation_age_ms()) / 1000,
+                        follower_->guard().has_unconfirmed_list(), follower_->guard().unconfirmed_total(),
+                        follower_->member_change_count()};
   }
   return metrics;
 }
