--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -21,62 +21,64 @@
 // Recovers the endpoints and destinations that the previous process knew. The configuration's list alone may
 // be older: endpoints that were draining would get new calls again.
 void Relay::recover_endpoints() {
-  HostList list;
+  EndpointList list;
   list.complete = true;
   std::vector<policy::DestinationState> states;
   nlohmann::json members = nlohmann::json::array();
-  for (const auto& [name, text] : journal_.remembered()) {
+  for (const auto& [name, text] : journal_.facts()) {
     const nlohmann::json value = nlohmann::json::parse(text);
-    if (name == fact::kRevision) list.revision = value.get<int64_t>();
-    if (name.starts_with(fact::kHost)) members.push_back(value);
+    if (name == fact::kListRevision) list.revision = value.get<int64_t>();
+    if (name.starts_with(fact::kEndpoint)) members.push_back(value);
     if (name.starts_with(fact::kDestination)) states.push_back(recovered_state(name, value));
     recover_fact(name, value);
   }
   const bool from_registry = !list_identity_.empty();
-  if (from_registry != config_.fleet.has_value()) {  // the other source's list; its revisions do not compare
+  if (from_registry !=
+      config_.list_follower.has_value()) {  // the other source's list; its revisions do not compare
     list.revision = 0;
     list_identity_.clear();
-    journal_.remember(fact::kIdentity, "");
+    journal_.record_fact(fact::kListIdentity, "");
   }
-  list.hosts =
+  list.endpoints =
       parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.names)
-          .hosts;
-  if (!list.hosts.empty()) on_endpoint_list(list);
+          .endpoints;
+  if (!list.endpoints.empty()) on_endpoint_list(list);
   for (const policy::DestinationState& state : states) queue_event(state);
 }
 
 void Relay::recover_fact(const std::string& name, const nlohmann::json& value) {
-  if (name == fact::kIdentity) list_identity_ = value.get<std::string>();
-  if (name.starts_with(fact::kGone)) directory_.add_gone(name.substr(fact::kGone.size()), value.get<Time>());
+  if (name == fact::kListIdentity) list_identity_ = value.get<std::string>();
+  if (name.starts_with(fact::kRemovedAt))
+    directory_.add_removed(name.substr(fact::kRemovedAt.size()), value.get<Time>());
   if (name == fact::kDestinations) {
     for (const int destination : value.get<std::vector<int>>()) directory_.add_destination(destination);
   }
   if (name.starts_with(fact::kSuspended)) directory_.suspend(name.substr(fact::kSuspended.size()));
-  if (name.starts_with(fact::kFence))
-    fencing_tokens_.recall(name.substr(fact::kFence.size()), value.get<Token>());
+  if (name.starts_with(fact::kFencingToken))
+    fencing_tokens_.restore(name.substr(fact::kFencingToken.size()), value.get<Token>());
 }
 
 policy::DestinationState Relay::recovered_state(const std::string& name, const nlohmann::json& value) const {
   const auto steady = [this](Time time) { return time == 0 ? 0 : clock_.to_steady(time); };
   policy::DestinationState state;
   state.destination = std::stoi(name.substr(fact::kDestination.size()));
-  state.retry_tokens = value.at(kRetryTokensKey).get<int>();
+  state.retry_token_tenths = value.at(kRetryTokensKey).get<int>();
   state.outage_since = steady(value.at(kOutageSinceKey).get<Time>());
   state.recovering_since = steady(value.at(kRecoveringSinceKey).get<Time>());
   state.rate_before_outage = value.at(kRateBeforeOutageKey).get<double>();
   // A restart ends a wait, a handover does not.
-  if (handover_.taken_over()) state.wait_until = steady(value.value(kWaitUntilKey, Time{0}));
+  if (handover_.has_predecessor()) state.blocked_until = steady(value.value(kWaitUntilKey, Time{0}));
   return state;
 }
 
-void Relay::persist(const policy::DestinationState& state) {
+void Relay::persist_destination_state(const policy::DestinationState& state) {
   const auto durable = [this](Time time) { return time == 0 ? 0 : clock_.from_steady(time); };
-  const nlohmann::json value = {{kRetryTokensKey, state.retry_tokens},
+  const nlohmann::json value = {{kRetryTokensKey, state.retry_token_tenths},
                                 {kOutageSinceKey, durable(state.outage_since)},
                                 {kRecoveringSinceKey, durable(state.recovering_since)},
                                 {kRateBeforeOutageKey, state.rate_before_outage},
-                                {kWaitUntilKey, durable(state.wait_until)}};
-  journal_.remember(fact::kDestination + std::to_string(state.destination), value.dump());
+                                {kWaitUntilKey, durable(state.blocked_until)}};
+  journal_.record_fact(fact::kDestination + std::to_string(state.destination), value.dump());
 }
 
 // Recovers the messages of the previous process and passes them to the policy, which decides on them like on
@@ -84,26 +86,26 @@
 void Relay::recover_messages() {
   Recovery recovery;
   recover_ordering_holds(recovery);
-  for (const Recovered& entry : journal_.recovered()) {
+  for (const JournaledMessage& entry : journal_.recovered()) {
     entry.unacknowledged_answer ? recover_final_answer(entry) : recover_message(entry, recovery);
   }
   note_excess_messages();
-  arrive(recovery.arrivals);
+  queue_arrivals(recovery.arrivals);
   for (policy::AttemptEnded& end : recovery.ends) queue_event(std::move(end));
-  std::erase_if(inherited_attempts_, [](const auto& entry) { return entry.second.number == 0; });
+  std::erase_if(inherited_attempts_, [](const auto& entry) { return entry.second.message_number == 0; });
 }
 
 // Represents each hold by the call of a substitute message, as the message that caused the hold may have
 // ended.
 void Relay::recover_ordering_holds(Recovery& recovery) {
-  for (const uint64_t ordering_key : ordering_.held_back_keys()) {
+  for (const uint64_t ordering_key : ordering_.held_keys()) {
     RecoveredMessage substitute;
     substitute.terms.in_order = true;
     substitute.arrival.id = messages_.next_number();
     substitute.arrival.tenant = -1;
     substitute.arrival.ordering_key = ordering_key;
     substitute.arrival.attempts = 1;
-    auto end = interrupted_call(substitute.arrival);
+    auto end = add_interrupted_call(substitute.arrival);
     if (!end) continue;
     end->final = true;
     recovery.ends.push_back(std::move(*end));
@@ -111,7 +113,7 @@
   }
 }
 
-void Relay::recover_final_answer(const Recovered& entry) {
+void Relay::recover_final_answer(const JournaledMessage& entry) {
   const SubmittedMessage& message = entry.message;
   const DeliveryTerms terms =
       delivery_terms_.find(config_.settings, message.message_class, entry.terms_number);
@@ -119,7 +121,7 @@
   notices_.add(*entry.unacknowledged_answer);
 }
 
-void Relay::recover_message(const Recovered& entry, Recovery& recovery) {
+void Relay::recover_message(const JournaledMessage& entry, Recovery& recovery) {
   const uint64_t number = messages_.next_number();
   PendingMessage& message = messages_.add(
       number, {entry.message, clock_.to_steady(entry.deadline), entry.attempts, true, entry.terms_number});
@@ -147,9 +149,9 @@
   }
   const int max_attempts =
       recovered.terms.max_attempts > 0 ? recovered.terms.max_attempts : config_.settings.max_attempts;
-  arrival.max_attempts = max_attempts + entry.attempts - entry.begun;
+  arrival.max_attempts = max_attempts + entry.attempts - entry.calls_begun;
   if (arrival.may_have_run && inherited == nullptr && needs_hold(recovered.terms, arrival.ordering_key)) {
-    if (auto end = interrupted_call(arrival)) recovery.ends.push_back(std::move(*end));
+    if (auto end = add_interrupted_call(arrival)) recovery.ends.push_back(std::move(*end));
     ordering_.hold(arrival.ordering_key, config_.settings.ordering_pause);
   }
   if (inherited != nullptr && !resume_inherited(recovered, *inherited)) return;
@@ -158,7 +160,7 @@
 
 // Returns the attempt that the predecessor still has in flight, or null. Drops an attempt without a record:
 // it never started, and the predecessor starts no more calls.
-Relay::InheritedAttempt* Relay::find_inherited(const Recovered& entry) {
+Relay::InheritedAttempt* Relay::find_inherited(const JournaledMessage& entry) {
   const auto found = inherited_attempts_.find(entry.message.id);
   if (found == inherited_attempts_.end()) return nullptr;
   if (entry.possibly_run.contains(found->second.attempt)) return &found->second;
@@ -169,7 +171,7 @@
 // Adds the inherited call to the message. Returns false if the call's endpoint is not known: the message is
 // deferred then.
 bool Relay::resume_inherited(RecoveredMessage& message, InheritedAttempt& inherited) {
-  inherited.number = message.arrival.id;
+  inherited.message_number = message.arrival.id;
   if (directory_.find(inherited.call.endpoint) == nullptr) {
     inherited.deferred = message;
     return false;
@@ -182,10 +184,10 @@
 // Adds to the arrival a call that ended in or with the previous process, and returns its end, so that for the
 // policy it ends now and later messages with its ordering key wait. Its endpoint is not known: any listed
 // endpoint takes its place, and the policy learns nothing about that one. Returns nullopt if none is listed.
-std::optional<policy::AttemptEnded> Relay::interrupted_call(policy::MessageArrived& arrival) const {
-  const auto& endpoints = directory_.hosts();
+std::optional<policy::AttemptEnded> Relay::add_interrupted_call(policy::MessageArrived& arrival) const {
+  const auto& endpoints = directory_.endpoints();
   const auto listed = std::find_if(endpoints.begin(), endpoints.end(), [](const auto& entry) {
-    return entry.second.member.listing != policy::Listing::kGone;
+    return entry.second.info.listing != policy::Listing::kGone;
   });
   if (listed == endpoints.end()) return {};
   constexpr uint64_t kInterruptedCallBit = uint64_t{1} << 62;  // differs from the numbers of calls in flight
@@ -201,7 +203,7 @@
 
 // Queues the messages for the policy, in settings that also have the classes of terms that the current
 // settings no longer contain.
-void Relay::arrive(const std::vector<RecoveredMessage>& messages) {
+void Relay::queue_arrivals(const std::vector<RecoveredMessage>& messages) {
   auto settings = policy_settings();
   std::vector<policy::MessageArrived> arrivals;
   for (const auto& [arrival, terms] : messages) {
@@ -212,7 +214,7 @@
     if (place == settings->classes.end()) settings->classes.push_back(message_class);
   }
   const bool settings_differ =
-      settings->classes.size() > config_.settings.classes.size() || last_excess_ != 0;
+      settings->classes.size() > config_.settings.classes.size() || last_excess_number_ != 0;
   if (settings_differ) queue_event(policy::SettingsChanged{settings, {}});
   for (const policy::MessageArrived& arrival : arrivals) queue_event(arrival);
   if (settings_differ) queue_event(policy::SettingsChanged{policy_settings(), {}});
--- a/relay/relay_submission.cpp
+++ b/relay/relay_submission.cpp
@@ -39,29 +39,29 @@
 
 }  // namespace
 
-void Relay::accept_message(SubmittedMessage message, Clients::Answer answer) {
+void Relay::accept_message(SubmittedMessage message, Clients::AnswerHandler answer) {
   if (const auto number = messages_.number_of(message.id)) {  // submitted again
     if (messages_.find(*number)->accepted) return answer(kAccepted);
     submissions_.push_back({*number, std::move(answer)});
     return;
   }
-  if (const auto rejected = rejection(message)) return answer(*rejected);
+  if (const auto rejected = rejection_reply(message)) return answer(*rejected);
   submit(std::move(message), std::move(answer));
 }
 
 // Returns the reply to a message that is refused before the policy sees it, and counts it; nullopt if it is
 // not refused.
-std::optional<std::string> Relay::rejection(const SubmittedMessage& message) {
+std::optional<std::string> Relay::rejection_reply(const SubmittedMessage& message) {
   const int index = class_index(config_.settings, message.message_class);
   if (index < 0) return "-ERR unknown class";
   const policy::ClassSettings& message_class = config_.settings.classes[index];
   const RetiredClasses::Allowance allowance = retired_classes_.allowance(message_class, steady_now());
   if (allowance.removed) return "-ERR unknown class";
-  if (message_class.idempotency == policy::Idempotency::kIdempotentWithKey && message.key.empty())
+  if (message_class.idempotency == policy::Idempotency::kIdempotentWithKey && message.idempotency_key.empty())
     return "-ERR no idempotency key";
   if (message.time_to_live > allowance.max_lifetime + kClockSlack) return "-ERR d is too long";
   ClassMetrics& counts = metrics_.classes[message.message_class];
-  if (!directory_.known(message.destination)) {
+  if (!directory_.has_destination(message.destination)) {
     ++counts.error;
     return "-ERR unknown destination";
   }
@@ -73,7 +73,7 @@
   return {};
 }
 
-void Relay::submit(SubmittedMessage message, Clients::Answer answer) {
+void Relay::submit(SubmittedMessage message, Clients::AnswerHandler answer) {
   policy::MessageArrived arrival;
   arrival.id = messages_.next_number();
   arrival.message_class = class_index(config_.settings, message.message_class);
@@ -96,9 +96,9 @@
   submissions.swap(submissions_);
   std::map<uint64_t, std::string> answers;  // one for all submissions of the same message
   for (const Submission& submission : submissions) {
-    const auto [answer, is_new] = answers.try_emplace(submission.number, kAccepted);
-    if (is_new && messages_.find(submission.number) != nullptr)
-      answer->second = decide_submission(submission.number, rejections);
+    const auto [answer, is_new] = answers.try_emplace(submission.message_number, kAccepted);
+    if (is_new && messages_.find(submission.message_number) != nullptr)
+      answer->second = decide_submission(submission.message_number, rejections);
     submission.answer(answer->second);
   }
 }
@@ -132,7 +132,7 @@
 void Relay::forget_unused_terms() {
   if (!clients_) return;
   std::set<std::string> in_use;
-  for (const auto& [number, message] : messages_.all())
+  for (const auto& [number, message] : messages_.by_number())
     in_use.insert(DeliveryTermsStore::fact_name(message.submitted.message_class, message.terms_number));
   delivery_terms_.forget_unused(config_.settings, in_use);
 }
--- a/relay/resp.cpp
+++ b/relay/resp.cpp
@@ -34,17 +34,17 @@
   buffer_.append(bytes);
 }
 
-std::optional<std::vector<std::string>> RespParser::next() {
+std::optional<std::vector<std::string>> RespParser::next_command() {
   const std::string_view bytes = std::string_view(buffer_).substr(returned_end_);
   size_t position = 0;
   const auto count = parse_length(bytes, position, '*');
   if (!count) return {};
-  if (*count == 0 || *count > kMostWords) throw RespError("number of words is out of range");
+  if (*count == 0 || *count > kMaxWords) throw RespError("number of words is out of range");
   std::vector<std::string_view> words;
   while (words.size() < *count) {
     const auto length = parse_length(bytes, position, '$');
     if (!length) return {};
-    if (*length > kMostWord || position + *length > kMostBytes) throw RespError("word is too long");
+    if (*length > kMaxWordBytes || position + *length > kMaxCommandBytes) throw RespError("word is too long");
     if (bytes.size() < position + *length + 2) return {};
     words.push_back(bytes.substr(position, *length));
     if (bytes.substr(position + *length, 2) != "\r\n") throw RespError("word does not end where it should");
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -16,15 +16,15 @@
 
 class RespParser {
  public:
-  static constexpr size_t kMostWords = 16;
-  static constexpr size_t kMostWord = size_t{64} * 1024;  // the largest message body
-  static constexpr size_t kMostBytes = kMostWord + size_t{8} * 1024;
+  static constexpr size_t kMaxWords = 16;
+  static constexpr size_t kMaxWordBytes = size_t{64} * 1024;  // the largest message body
+  static constexpr size_t kMaxCommandBytes = kMaxWordBytes + size_t{8} * 1024;
 
   void feed(std::string_view bytes);
 
   // Returns the next complete command, or nothing if more bytes are needed. Throws RespError if the bytes
   // are not a command.
-  std::optional<std::vector<std::string>> next();
+  std::optional<std::vector<std::string>> next_command();
 
   // Returns the bytes that have not been returned as a command.
   std::string_view unread() const { return std::string_view(buffer_).substr(returned_end_); }
--- a/relay/route_waits.h
+++ b/relay/route_waits.h
@@ -26,7 +26,7 @@
     Time& end = ends_[route];
     end = std::max(end, until);
   }
-  bool waits(const Route& route, Time now) const {
+  bool is_waiting(const Route& route, Time now) const {
     const auto found = ends_.find(route);
     return found != ends_.end() && found->second > now;
   }
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -18,7 +18,8 @@
 }  // namespace
 
 Upstream::Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-                   MayStart may_start, Ended on_attempt_ended, Probed on_health_check_ended)
+                   MayStart may_start, AttemptEndedHandler on_attempt_ended,
+                   HealthCheckEndedHandler on_health_check_ended)
     : io_(io),
       limits_(limits),
       report_fields_(std::move(report_fields)),
@@ -33,29 +34,31 @@
   for (const auto& [name, exchange] : exchanges_) exchange->orphan();
 }
 
-void Upstream::set(Limits limits, std::vector<std::string> report_fields) {
+void Upstream::set_limits(Limits limits, std::vector<std::string> report_fields) {
   limits_ = limits;
   report_fields_ = std::move(report_fields);
 }
 
-void Upstream::call(Call call_to_send) { call(std::vector<Call>{std::move(call_to_send)}); }
+void Upstream::call(AttemptRequest call_to_send) {
+  call(std::vector<AttemptRequest>{std::move(call_to_send)});
+}
 
-void Upstream::call(std::vector<Call> batch) {
+void Upstream::call(std::vector<AttemptRequest> batch) {
   start(std::make_shared<Exchange>(*this, std::move(batch), false));
 }
 
 void Upstream::check_health(const Endpoint& endpoint, const tcp::endpoint& address) {
-  Call call;
+  AttemptRequest call;
   call.id = ++last_health_check_;
   call.endpoint = endpoint;
   call.address = address;
   call.timeout = kHealthCheckTimeout;
-  start(std::make_shared<Exchange>(*this, std::vector<Call>{std::move(call)}, true));
+  start(std::make_shared<Exchange>(*this, std::vector<AttemptRequest>{std::move(call)}, true));
 }
 
 void Upstream::start(std::shared_ptr<Exchange> exchange) {
   exchanges_.emplace(exchange->name(), exchange);
-  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.most_open) close_oldest();
+  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.max_connections) close_oldest();
   exchange->start();
 }
 
@@ -97,7 +100,7 @@
     Error peer_error;
     const bool is_same_address =
         candidate.stream.socket().remote_endpoint(peer_error) == address && !peer_error;
-    const bool is_fresh = steady_now() - candidate.since < limits_.idle - kIdleMargin;
+    const bool is_fresh = steady_now() - candidate.since < limits_.idle_timeout - kIdleMargin;
     if (is_same_address && is_fresh && has_no_input(candidate.stream)) return candidate;
   }
   return {};
@@ -105,7 +108,7 @@
 
 void Upstream::put_idle(const Endpoint& endpoint, net::Stream stream) {
   std::vector<Idle>& connections = idle_[endpoint];
-  if (connections.size() >= kMaxIdlePerEndpoint || exchanges_.size() + idle_count_ >= limits_.most_open)
+  if (connections.size() >= kMaxIdlePerEndpoint || exchanges_.size() + idle_count_ >= limits_.max_connections)
     return;
   connections.push_back({std::move(stream), steady_now()});
   ++idle_count_;
@@ -124,7 +127,7 @@
   const Time now = steady_now();
   for (auto& [endpoint, connections] : idle_) {
     idle_count_ -= std::erase_if(connections, [&](Idle& idle) {
-      return now - idle.since >= limits_.idle - kIdleMargin || !has_no_input(idle.stream);
+      return now - idle.since >= limits_.idle_timeout - kIdleMargin || !has_no_input(idle.stream);
     });
   }
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -19,48 +19,49 @@
 namespace turntally::relay {
 
 // One message's attempt in a call.
-struct Call {
+struct AttemptRequest {
   uint64_t id = 0;  // the policy's number of the message
   int attempt = 0;
   Endpoint endpoint;
   tcp::endpoint address;
   std::string call_id;
-  std::string key;
+  std::string idempotency_key;
   std::string body;
   Time timeout = 0;
   Time start_by = std::numeric_limits<Time>::max();  // no byte may be written later than this
-  bool last = false;  // the message ends with this attempt's timeout: it is not sent again
+  bool is_last_attempt = false;  // the message ends with this attempt's timeout: it is not sent again
 };
 
 // Returns a message's part of the body of a call that carries a batch.
-std::string bundle_line(const Call& call);
-constexpr size_t kMostBundle = size_t{64} * 1024;
+std::string batch_body_part(const AttemptRequest& call);
+constexpr size_t kMaxBatchBodyBytes = size_t{64} * 1024;
 
 class Upstream {
  public:
   struct Limits {
     Time connect_timeout = 0;
-    Time idle = 0;           // after which an endpoint closes an idle connection
-    size_t most_open = 256;  // with a call on them or idle
+    Time idle_timeout = 0;         // after which an endpoint closes an idle connection
+    size_t max_connections = 256;  // with a call on them or idle
   };
   // Called for each message right before the first byte of its call; a message that may not start ends as
   // kNotStarted.
-  using MayStart = std::function<bool(const Call&)>;
+  using MayStart = std::function<bool(const AttemptRequest&)>;
   // `call_started`: MayStart returned true.
-  using Ended = std::function<void(const policy::AttemptEnded&, bool call_started)>;
-  using Probed = std::function<void(const policy::HealthCheckEnded&)>;
+  using AttemptEndedHandler = std::function<void(const policy::AttemptEnded&, bool call_started)>;
+  using HealthCheckEndedHandler = std::function<void(const policy::HealthCheckEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-           MayStart may_start, Ended on_attempt_ended, Probed on_health_check_ended);
+           MayStart may_start, AttemptEndedHandler on_attempt_ended,
+           HealthCheckEndedHandler on_health_check_ended);
   ~Upstream();
 
   // Applies to calls that start from now on.
-  void set(Limits limits, std::vector<std::string> report_fields);
+  void set_limits(Limits limits, std::vector<std::string> report_fields);
 
-  void call(Call call);
+  void call(AttemptRequest call);
   // Sends all messages to one endpoint in one call, which takes one slot and one connection. Their parts of
   // the body are kMaxBatchBodyBytes at most.
-  void call(std::vector<Call> batch);
+  void call(std::vector<AttemptRequest> batch);
   // Ends the whole call that carries the message.
   void cancel(uint64_t id, int attempt);
   void check_health(const Endpoint& endpoint, const tcp::endpoint& address);
@@ -79,7 +80,7 @@
   std::vector<InFlightCall> in_flight_calls() const;
   void close_idle();  // to all endpoints
   size_t in_flight_count() const { return exchanges_.size(); }
-  uint64_t written() const { return messages_written_; }
+  uint64_t messages_written() const { return messages_written_; }
 
  private:
   class Exchange;
@@ -98,8 +99,8 @@
   Limits limits_;
   std::vector<std::string> report_fields_;
   MayStart may_start_;
-  Ended on_attempt_ended_;
-  Probed on_health_check_ended_;
+  AttemptEndedHandler on_attempt_ended_;
+  HealthCheckEndedHandler on_health_check_ended_;
   boost::asio::steady_timer sweep_timer_;
   uint64_t last_health_check_ = 0;
   uint64_t messages_written_ = 0;  // messages written completely
--- a/relay/upstream_exchange.cpp
+++ b/relay/upstream_exchange.cpp
@@ -83,12 +83,12 @@
   return byte_count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-std::string bundle_line(const Call& call) {
-  return call.call_id + " " + (call.key.empty() ? "-" : call.key) + " " + std::to_string(call.body.size()) +
-         "\r\n" + call.body + "\r\n";
+std::string batch_body_part(const AttemptRequest& call) {
+  return call.call_id + " " + (call.idempotency_key.empty() ? "-" : call.idempotency_key) + " " +
+         std::to_string(call.body.size()) + "\r\n" + call.body + "\r\n";
 }
 
-Upstream::Exchange::Exchange(Upstream& owner, std::vector<Call> calls, bool is_health_check)
+Upstream::Exchange::Exchange(Upstream& owner, std::vector<AttemptRequest> calls, bool is_health_check)
     : owner_(&owner),
       name_(is_health_check, calls.front().id, calls.front().attempt),
       endpoint_(calls.front().endpoint),
@@ -96,7 +96,7 @@
       is_health_check_(is_health_check),
       stream_(owner.io_),
       timer_(owner.io_) {
-  for (Call& call : calls) attempts_.push_back({std::move(call), {}});
+  for (AttemptRequest& call : calls) attempts_.push_back({std::move(call), {}});
 }
 
 bool Upstream::Exchange::has_attempt(uint64_t id, int number) const {
@@ -119,7 +119,8 @@
   Time min_repeat_timeout = std::numeric_limits<Time>::max();
   for (const Attempt& attempt : attempts_) {
     max_timeout = std::max(max_timeout, attempt.call.timeout);
-    if (!attempt.call.last) min_repeat_timeout = std::min(min_repeat_timeout, attempt.call.timeout);
+    if (!attempt.call.is_last_attempt)
+      min_repeat_timeout = std::min(min_repeat_timeout, attempt.call.timeout);
   }
   deadline_ = started_at_ + std::min(max_timeout, min_repeat_timeout);
   if (auto idle = owner_->take_idle(endpoint_, address_)) {
@@ -270,11 +271,11 @@
   if (is_health_check_) return;
   for (Attempt* attempt : starting) attempt->sent = true;
   if (is_batch_) {
-    for (const Attempt* attempt : starting) request_.body() += bundle_line(attempt->call);
+    for (const Attempt* attempt : starting) request_.body() += batch_body_part(attempt->call);
   } else {
-    Call& only = starting.front()->call;
+    AttemptRequest& only = starting.front()->call;
     request_.set("X-Call-Id", only.call_id);
-    if (!only.key.empty()) request_.set("Idempotency-Key", only.key);
+    if (!only.idempotency_key.empty()) request_.set("Idempotency-Key", only.idempotency_key);
     request_.body() = std::move(only.body);
   }
   const Time remaining_ms = std::max<Time>(1, (deadline_ - steady_now()) / 1000);
--- a/relay/upstream_exchange.h
+++ b/relay/upstream_exchange.h
@@ -26,7 +26,7 @@
 // endpoint said so or the request was incomplete.
 class Upstream::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
-  Exchange(Upstream& owner, std::vector<Call> calls, bool is_health_check);
+  Exchange(Upstream& owner, std::vector<AttemptRequest> calls, bool is_health_check);
   std::tuple<bool, uint64_t, int> name() const { return name_; }
   bool has_attempt(uint64_t id, int number) const;
   std::optional<InFlightCall> in_flight() const;
@@ -44,7 +44,7 @@
   static constexpr Time kNever = std::numeric_limits<Time>::max();
 
   struct Attempt {
-    Call call;
+    AttemptRequest call;
     std::optional<policy::Outcome> outcome;  // set if the response distinguishes between messages
     bool finished = false;                   // the response says that the message is over
     bool call_started = false;               // MayStart returned true
--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -34,14 +34,15 @@
     Encoder reply;
     std::map<int, std::vector<policy::Event>> pending;  // by instance
     for (InstanceEvent& item : events) {
-      if (std::holds_alternative<Kill>(item.event)) {
+      if (std::holds_alternative<InstanceKill>(item.event)) {
         policies_.erase(item.instance);
         pending.erase(item.instance);
-      } else if (const auto* start = std::get_if<PowerOn>(&item.event)) {
+      } else if (const auto* start = std::get_if<InstanceStart>(&item.event)) {
         pending.erase(item.instance);
         run_reporting_exceptions(item.instance, reply, [&] {
           policies_.erase(item.instance);
-          policies_.emplace(item.instance, policy::Policy(policy::parse_settings(start->facts), start->seed));
+          policies_.emplace(item.instance,
+                            policy::Policy(policy::parse_settings(start->settings_text), start->seed));
         });
         pending[item.instance];
       } else {
@@ -55,7 +56,7 @@
       if (policy == policies_.end()) continue;
       std::vector<policy::Action> actions;
       run_reporting_exceptions(instance, reply, [&] { policy->second.step(now, instance_events, actions); });
-      reply.actions(instance, actions);
+      reply.add_actions(instance, actions);
     }
     return reply.frame();
   }
@@ -66,7 +67,7 @@
     try {
       run();
     } catch (const std::exception& error) {
-      reply.panic(instance, error.what());
+      reply.add_panic(instance, error.what());
     }
   }
 
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -210,11 +210,11 @@
   return out;
 }
 
-PowerOn read_power_on(Reader& in) {
-  PowerOn out;
+InstanceStart read_power_on(Reader& in) {
+  InstanceStart out;
   out.seed = in.u64(field::kSeed);
   const uint32_t count = in.u32(field::kSettings);
-  out.facts = in.raw(count, field::kSettings);
+  out.settings_text = in.raw(count, field::kSettings);
   return out;
 }
 
@@ -258,8 +258,8 @@
 }
 
 // `start` is the byte position of the record.
-std::variant<policy::Event, PowerOn, Kill> read_event(EventCode code, Reader& in, const Lists& lists,
-                                                      size_t start) {
+std::variant<policy::Event, InstanceStart, InstanceKill> read_event(EventCode code, Reader& in,
+                                                                    const Lists& lists, size_t start) {
   switch (code) {
     case EventCode::kPowerOn:
       return read_power_on(in);
@@ -278,7 +278,7 @@
     case EventCode::kWhisper:
       return policy::Event(read_gossip(in));
     case EventCode::kKill:
-      return Kill{};
+      return InstanceKill{};
     default:
       throw WireError("unknown event code " + std::to_string(static_cast<int>(code)) + " at byte " +
                       std::to_string(start));
@@ -397,18 +397,18 @@
   return out;
 }
 
-void Encoder::speaking(int instance) {
+void Encoder::begin_instance(int instance) {
   put_code(body_, ActionCode::kSpeaking);
   put(body_, static_cast<uint16_t>(instance));
   ++records_;
 }
 
-void Encoder::actions(int instance, std::span<const policy::Action> actions) {
+void Encoder::add_actions(int instance, std::span<const policy::Action> actions) {
   const auto is_persistence = [](const policy::Action& action) {
     return std::holds_alternative<policy::PersistDestinationState>(action);
   };
   if (std::all_of(actions.begin(), actions.end(), is_persistence)) return;
-  speaking(instance);
+  begin_instance(instance);
   for (const policy::Action& action : actions) {
     if (std::holds_alternative<policy::PersistDestinationState>(action))
       continue;  // a simulated relay has no persistent state
@@ -417,8 +417,8 @@
   }
 }
 
-void Encoder::panic(int instance, std::string_view text) {
-  speaking(instance);
+void Encoder::add_panic(int instance, std::string_view text) {
+  begin_instance(instance);
   put_code(body_, ActionCode::kPanic);
   put_text(body_, text);
   ++records_;
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -25,17 +25,17 @@
 };
 
 // A simulated relay starts.
-struct PowerOn {
+struct InstanceStart {
   uint64_t seed = 0;
-  std::string facts;  // path=value lines
+  std::string settings_text;  // path=value lines
 };
 
 // A simulated relay ends at once.
-struct Kill {};
+struct InstanceKill {};
 
 struct InstanceEvent {
   int instance = 0;  // number of the simulated relay
-  std::variant<policy::Event, PowerOn, Kill> event;
+  std::variant<policy::Event, InstanceStart, InstanceKill> event;
 };
 
 struct Header {
@@ -65,13 +65,13 @@
 class Encoder {
  public:
   // Leaves out PersistDestinationState, as a simulated relay has no persistent state.
-  void actions(int instance, std::span<const policy::Action> actions);
+  void add_actions(int instance, std::span<const policy::Action> actions);
   // Reports that the instance's policy threw an exception with this text.
-  void panic(int instance, std::string_view text);
+  void add_panic(int instance, std::string_view text);
   std::string frame() const;
 
  private:
-  void speaking(int instance);
+  void begin_instance(int instance);
 
   std::string body_;
   uint32_t records_ = 0;
--- a/tests/cli/errors_test.cpp
+++ b/tests/cli/errors_test.cpp
@@ -34,8 +34,8 @@
 // Returns an instance of every error type. Errors.SampleListNamesEveryType fails if a type is missing here.
 const std::map<std::string, net::Error>& sample_errors() {
   static const std::map<std::string, net::Error> kErrors = {
-      {"net/BadInput", net::BadInput("f:1: key: is missing")},
-      {"net/CannotListen", net::CannotListen("127.0.0.1:1", "in use")},
+      {"net/InvalidInput", net::InvalidInput("f:1: key: is missing")},
+      {"net/ListenError", net::ListenError("127.0.0.1:1", "in use")},
       {"registry/BadRequest", registry::BadRequest("no")},
       {"registry/NoSuchCall", registry::NoSuchCall("/x")},
       {"registry/NoSuchMethod", registry::NoSuchMethod("PATCH")},
@@ -62,16 +62,16 @@
       {"registry/OutcomeUnknown", registry::OutcomeUnknown("lost")},
       {"registry/AnswerUnreadable", registry::AnswerUnreadable("hello")},
       {"registry/ListUnreadable", registry::ListUnreadable("hello")},
-      {"relay/NoEnvironment", relay::NoEnvironment("X")},
+      {"relay/MissingEnvironment", relay::MissingEnvironment("X")},
       {"relay/BadConfig", relay::BadConfig("no")},
       {"relay/StateUnusable", relay::StateUnusable("no")},
-      {"relay/NotHandedOver", relay::NotHandedOver("folder")},
-      {"relay/NoHandover", relay::NoHandover("no")},
+      {"relay/HandoverRefused", relay::HandoverRefused("folder")},
+      {"relay/HandoverUnavailable", relay::HandoverUnavailable("no")},
       {"relay/HandoverFrameInvalid", relay::HandoverFrameInvalid('S', "no")},
       {"relay/ClaimUnreadable", relay::ClaimUnreadable("no")},
       {"relay/LeaseFenced", relay::LeaseFenced({"task/mirror", 3, false}, 4)},
-      {"relay/LeaseNamesFull", relay::LeaseNamesFull("task/mirror")},
-      {"relay/FenceNotKept", relay::FenceNotKept("task/mirror")},
+      {"relay/TooManyLeases", relay::TooManyLeases("task/mirror")},
+      {"relay/FencingTokenNotStored", relay::FencingTokenNotStored("task/mirror")},
       {"controller/NoAnswer", controller::NoAnswer("discovery")},
       {"controller/Fenced", controller::Fenced("discovery")},
       {"controller/Refused", controller::Refused("discovery", 500, "no")},
@@ -145,7 +145,7 @@
     EXPECT_FALSE(error.action().empty()) << name;
     EXPECT_EQ((error.what() + error.action()).find('\n'), std::string::npos) << name;
     EXPECT_EQ(table[code].action, error.action()) << name;
-    EXPECT_EQ(table[code].status, std::to_string(1 + static_cast<int>(error.family()))) << name;
+    EXPECT_EQ(table[code].status, std::to_string(1 + static_cast<int>(error.kind()))) << name;
   }
   for (const auto& [code, entry] : table)
     EXPECT_TRUE(codes.contains(code)) << code << " belongs to no error type";
@@ -155,14 +155,14 @@
 // reply with status 0 is never sent.
 class FakeMember {
  public:
-  using Handler = std::function<net::HttpReply(const net::HttpRequest&)>;
+  using Handler = std::function<net::HttpResponse(const net::HttpRequest&)>;
   explicit FakeMember(Handler handler)
-      : server_(
-            io_, net::parse_address("127.0.0.1:0"), {},
-            [this, handler](const net::HttpRequest& request, const std::shared_ptr<net::HttpAnswer>& answer) {
-              const net::HttpReply reply = handler(request);
-              reply.status != 0 ? answer->reply(reply) : unanswered_.push_back(answer);
-            }),
+      : server_(io_, net::parse_address("127.0.0.1:0"), {},
+                [this, handler](const net::HttpRequest& request,
+                                const std::shared_ptr<net::HttpResponder>& answer) {
+                  const net::HttpResponse reply = handler(request);
+                  reply.status != 0 ? answer->reply(reply) : unanswered_.push_back(answer);
+                }),
         address_(server_.address()),
         thread_([this] { io_.run(); }) {}
   ~FakeMember() {
@@ -173,13 +173,13 @@
 
  private:
   boost::asio::io_context io_;
-  std::vector<std::shared_ptr<net::HttpAnswer>> unanswered_;  // kept open until the end
+  std::vector<std::shared_ptr<net::HttpResponder>> unanswered_;  // kept open until the end
   net::HttpServer server_;
   net::tcp::endpoint address_;
   std::thread thread_;
 };
 
-net::HttpReply json_reply(int status, const std::string& body) {
+net::HttpResponse json_reply(int status, const std::string& body) {
   return {status, body, "application/json", {}};
 }
 
@@ -209,10 +209,10 @@
   EXPECT_STREQ(refused.code(), "lease_fenced");
   EXPECT_STREQ(refused.what(), "a later grant stands");
   EXPECT_EQ(refused.action(), "stop");
-  EXPECT_EQ(refused.family(), net::Family::kRefused);
+  EXPECT_EQ(refused.kind(), net::ErrorKind::kRefused);
   const FakeMember plain([](const auto&) { return json_reply(400, R"({"error":"no","code":"A B"})"); });
   EXPECT_STREQ(error_of_call<registry::Refused>(plain.address(), "PUT").code(), "registry_refused");
-  EXPECT_EQ(error_of_call<registry::Refused>(plain.address(), "PUT").family(), net::Family::kMisuse);
+  EXPECT_EQ(error_of_call<registry::Refused>(plain.address(), "PUT").kind(), net::ErrorKind::kInvalidInput);
   const FakeMember other([](const auto&) { return json_reply(200, "<html>\n"); });
   EXPECT_NE(
       std::string(error_of_call<registry::AnswerUnreadable>(other.address(), "GET").what()).find("<html>"),
--- a/tests/cli/transcript_test.cpp
+++ b/tests/cli/transcript_test.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 
 #include "net/http.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "tests/support/peers.h"
 
 namespace turntally::testing {
@@ -58,9 +58,9 @@
 TEST(Transcript, ReplacesEqualValuesWithTheSamePlaceholder) {
   Transcript t("none", "/nowhere");
   t.place("pid", R"(pid (\d+))");
-  t.said("a", "b", "pid 71 at 127.3.2.1:80",
-         "{\"revision\":17}\ntime=2026 waited_ms=3\n\n127.0.0.1:9 is 127.3.2.1:80");
-  t.said("b", "a", "pid 8 of pid 71", "index=18&identity=00112233445566ff If-Match: 17");
+  t.add_message("a", "b", "pid 71 at 127.3.2.1:80",
+                "{\"revision\":17}\ntime=2026 waited_ms=3\n\n127.0.0.1:9 is 127.3.2.1:80");
+  t.add_message("b", "a", "pid 8 of pid 71", "index=18&identity=00112233445566ff If-Match: 17");
   t.note("00112233445566ff ends");
   EXPECT_EQ(
       t.text(),
@@ -89,18 +89,18 @@
   Transcript t("one", folder.path());
   t.note("first");
   const ScopedApproval none(nullptr);
-  EXPECT_NE(t.judge().find("nothing is approved"), std::string::npos);
-  EXPECT_NE(t.judge().find("+== first\n"), std::string::npos);
-  EXPECT_NE(t.judge().find("TURNTALLY_APPROVE=1"), std::string::npos);
+  EXPECT_NE(t.compare_with_approved().find("nothing is approved"), std::string::npos);
+  EXPECT_NE(t.compare_with_approved().find("+== first\n"), std::string::npos);
+  EXPECT_NE(t.compare_with_approved().find("TURNTALLY_APPROVE=1"), std::string::npos);
   EXPECT_FALSE(fs::exists(folder.path() + "/one.txt"));
   {
     const ScopedApproval approving("1");
-    EXPECT_NE(t.judge(), "");
-    EXPECT_NE(t.judge(), "");  // an unchanged text fails too
+    EXPECT_NE(t.compare_with_approved(), "");
+    EXPECT_NE(t.compare_with_approved(), "");  // an unchanged text fails too
   }
-  EXPECT_EQ(t.judge(), "");
+  EXPECT_EQ(t.compare_with_approved(), "");
   t.note("second");
-  EXPECT_NE(t.judge().find("+== second\n"), std::string::npos);
+  EXPECT_NE(t.compare_with_approved().find("+== second\n"), std::string::npos);
 }
 
 // A registry of one member, run as a process, and the clients whose exchanges with it are recorded.
@@ -142,13 +142,13 @@
   // instead of a long body.
   json call(const std::string& method, const std::string& target, const std::string& body,
             const std::string& shown = "") {
-    transcript_.said("deployment", "registry", method + " " + target, shown.empty() ? body : shown);
+    transcript_.add_message("deployment", "registry", method + " " + target, shown.empty() ? body : shown);
     const auto reply = net::http_call(address_, {method, target, {}, body, kDeadline});
     if (!reply) {
-      transcript_.said("registry", "deployment", "no answer");
+      transcript_.add_message("registry", "deployment", "no answer");
       return {};
     }
-    transcript_.said("registry", "deployment", std::to_string(reply->status), reply->body);
+    transcript_.add_message("registry", "deployment", std::to_string(reply->status), reply->body);
     return json::parse(reply->body);
   }
 
@@ -158,7 +158,7 @@
                 {{"TURNTALLY_REGISTRY", at()}});
     transcript_.note("operator: turntally " + arguments);
     const auto [status, out] = child.wait();
-    transcript_.said("turntally", "operator", "exit status " + std::to_string(status), out);
+    transcript_.add_message("turntally", "operator", "exit status " + std::to_string(status), out);
   }
 
   // A watch of the list. `position` is the query that gives the client's revision and identity; an empty one
@@ -167,16 +167,16 @@
    public:
     Watch(Registry& registry, const std::string& position) : registry_(registry) {
       const std::string target = "/api/targets?stream=1" + position;
-      registry_.transcript_.said("watch", "registry", "GET " + target);
-      lines_ = std::make_shared<net::Lines>(
+      registry_.transcript_.add_message("watch", "registry", "GET " + target);
+      lines_ = std::make_shared<net::JsonStream>(
           io_, registry_.address_, kDeadline,
           [this](const std::string& line) {
             // Empty lines and lines with heard_ms come at varying times and are not recorded.
             if (!line.empty() && !json::parse(line).contains("heard_ms")) received_.push_back(line);
             return true;
           },
-          [this](net::Lines::End reason) {
-            received_.push_back(net::Lines::name_of(reason));
+          [this](net::JsonStream::EndReason reason) {
+            received_.push_back(net::JsonStream::name_of(reason));
             lines_->close();
           });
       lines_->start(target);
@@ -191,7 +191,7 @@
         io_.run_for(std::chrono::milliseconds(5));
       const std::string line = received_.empty() ? "nothing" : received_.front();
       if (!received_.empty()) received_.pop_front();
-      registry_.transcript_.said("registry", "watch", "a line", line);
+      registry_.transcript_.add_message("registry", "watch", "a line", line);
       return json::parse(line, nullptr, false);
     }
 
@@ -199,7 +199,7 @@
     Registry& registry_;
     boost::asio::io_context io_;
     std::deque<std::string> received_;
-    std::shared_ptr<net::Lines> lines_;
+    std::shared_ptr<net::JsonStream> lines_;
   };
 
  private:
@@ -279,16 +279,16 @@
     words = std::regex_replace(words, std::regex("[*$][0-9]+\n"), "");
     Socket client = relay.client();
     client.send(bytes);
-    t.said("client", "relay", "a request", words);
-    t.said("relay", "client", client.line());
+    t.add_message("client", "relay", "a request", words);
+    t.add_message("relay", "client", client.line());
   };
   const auto call = [&] {
     const Request request = receiver.next();
     std::string text;
     for (const auto& [name, value] : request.headers) text += name + ": " + value + "\n";
-    t.said("relay", "receiver", request.first, text + "\n" + request.body);
+    t.add_message("relay", "receiver", request.first, text + "\n" + request.body);
   };
-  const auto logged = [&](const std::string& event) { t.said("relay", "log", relay.log_line(event)); };
+  const auto logged = [&](const std::string& event) { t.add_message("relay", "log", relay.log_line(event)); };
   const auto restart = [&](const std::string& when) {
     t.note("the relay is killed " + when + ", and started again");
     relay.kill();
@@ -300,7 +300,7 @@
   restart("during that call");
   call();
   receiver.answer("200");
-  t.said("receiver", "relay", "200");
+  t.add_message("receiver", "relay", "200");
   logged("call_ended");
   logged("end");
   put("00000000000000a2");  // acknowledged after the first message's final answer was recorded
@@ -308,7 +308,7 @@
   restart("during the second message's call, after the first message's final answer");
   call();  // for the second message alone
   receiver.answer("200");
-  t.said("receiver", "relay", "200");
+  t.add_message("receiver", "relay", "200");
   logged("end");
   t.check();
 }
@@ -328,20 +328,20 @@
     const std::string facts = "c=" + message_class + ",d=60000,k=5c0f6e1a2b3d4c59,dest=7";
     Socket client = relay.client();
     client.send(put_bytes(id, facts, "ring"));
-    t.said("client", "relay", "MSG.PUT", id + "\n" + facts + "\nring");
-    t.said("relay", "client", client.line());
+    t.add_message("client", "relay", "MSG.PUT", id + "\n" + facts + "\nring");
+    t.add_message("relay", "client", client.line());
   };
   const auto call = [&] {
     const Request request = receiver.next();
-    t.said("relay", "receiver", request.first,
-           "x-call-id: " + request.headers.at("x-call-id") + "\n\n" + request.body);
+    t.add_message("relay", "receiver", request.first,
+                  "x-call-id: " + request.headers.at("x-call-id") + "\n\n" + request.body);
   };
   const auto cut = [&](const std::string& bytes, bool resets) {
     receiver.raw(bytes);
     resets ? receiver.reset() : receiver.drop();
-    t.said("receiver", "relay", resets ? "a reset behind" : "an end behind", bytes);
+    t.add_message("receiver", "relay", resets ? "a reset behind" : "an end behind", bytes);
   };
-  const auto logged = [&](const std::string& event) { t.said("relay", "log", relay.log_line(event)); };
+  const auto logged = [&](const std::string& event) { t.add_message("relay", "log", relay.log_line(event)); };
   t.note("a message that may be repeated");
   put("00000000000000a1", "keyed");
   call();
@@ -357,14 +357,14 @@
   cut("HTTP/1.1 503 Servi", true);
   logged("call_ended");
   logged("end");
-  t.said("relay", "platform", "a notice", discovery.notice().dump());
+  t.add_message("relay", "platform", "a notice", discovery.notice().dump());
   t.note("another such message, whose connection breaks before any answer");
   put("00000000000000a3", "unsafe");
   call();
   cut("", true);
   logged("call_ended");
   logged("end");
-  t.said("relay", "platform", "a notice", discovery.notice().dump());
+  t.add_message("relay", "platform", "a notice", discovery.notice().dump());
   t.check();
 }
 
@@ -381,23 +381,25 @@
   const auto send = [&](Socket& client, const std::string& name, const std::string& bytes,
                         const std::string& shown) {
     EXPECT_TRUE(client.send(bytes));
-    t.said(name, "relay", shown);
+    t.add_message(name, "relay", shown);
   };
   const auto put = [&](Socket& client, const std::string& name, const std::string& id) {
     send(client, name, put_bytes(id, facts, "ring"), "MSG.PUT " + id + " " + facts + " ring");
   };
-  const auto answer = [&](Socket& client, const std::string& name) { t.said("relay", name, client.line()); };
+  const auto answer = [&](Socket& client, const std::string& name) {
+    t.add_message("relay", name, client.line());
+  };
   const auto call = [&] {
     const Request request = receiver.next();
-    t.said("relay", "receiver", request.first, "x-call-id: " + request.headers.at("x-call-id"));
+    t.add_message("relay", "receiver", request.first, "x-call-id: " + request.headers.at("x-call-id"));
   };
   const auto served = [&] {
     receiver.answer("200");
-    t.said("receiver", "relay", "200");
-    t.said("relay", "log", relay.log_line("end"));
+    t.add_message("receiver", "relay", "200");
+    t.add_message("relay", "log", relay.log_line("end"));
   };
   const auto ended = [&](Socket& client, const std::string& name) {
-    t.said("relay", name, client.ended() ? "its end" : "more");
+    t.add_message("relay", name, client.ended() ? "its end" : "more");
   };
   Socket first = relay.client();
   put(first, "first client", "00000000000000a1");
@@ -411,7 +413,7 @@
   answer(third, "third client");
   t.note("the relay is told to stop");
   relay.signal(SIGTERM);
-  t.said("relay", "log", relay.log_line("stopping"));
+  t.add_message("relay", "log", relay.log_line("stopping"));
   served();
   send(second, "second client", half.substr(40), "the other half");
   answer(second, "second client");
@@ -461,15 +463,15 @@
   for (const auto& [name, text] : files) {
     const std::string file = std::string(name) + ".toml";
     folder.write(file, text);
-    t.said("operator", "turntally", "registry run " + file, text);
+    t.add_message("operator", "turntally", "registry run " + file, text);
     const auto [status, out] = Child({TURNTALLY, "registry", "run", file}, folder.path()).wait();
-    t.said("turntally", "operator", "exit status " + std::to_string(status), out);
+    t.add_message("turntally", "operator", "exit status " + std::to_string(status), out);
   }
   const auto run_relay = [&](const std::string& description,
                              const std::map<std::string, std::string>& environment) {
-    t.said("operator", "relay", description);
+    t.add_message("operator", "relay", description);
     const auto [status, out] = Child({TURNTALLY_RELAY}, folder.path(), environment).wait();
-    t.said("relay", "operator", "exit status " + std::to_string(status), out);
+    t.add_message("relay", "operator", "exit status " + std::to_string(status), out);
   };
   std::map<std::string, std::string> environment = {{"PROXY_CONFIG", ""}, {"PROXY_STATE", folder.path()}};
   run_relay("PROXY_CONFIG is not set", environment);
@@ -509,15 +511,15 @@
     const std::string facts = "c=" + message_class + ",d=60000,k=5c0f6e1a2b3d4c59,dest=7";
     Socket client = relay.client();
     client.send(put_bytes(id, facts, "ring"));
-    t.said("client", "relay", "MSG.PUT " + id + " " + facts + " ring");
-    t.said("relay", "client", client.line());
+    t.add_message("client", "relay", "MSG.PUT " + id + " " + facts + " ring");
+    t.add_message("relay", "client", client.line());
   };
   const auto call = [&](const std::string& status) {
     const Request request = receiver.next();
-    t.said("relay", "receiver", request.first, "x-call-id: " + request.headers.at("x-call-id"));
+    t.add_message("relay", "receiver", request.first, "x-call-id: " + request.headers.at("x-call-id"));
     receiver.answer(status);
-    t.said("receiver", "relay", status);
-    t.said("relay", "log", relay.log_line("call_ended"));
+    t.add_message("receiver", "relay", status);
+    t.add_message("relay", "log", relay.log_line("call_ended"));
   };
   put("00000000000000a1", "safe");
   put("00000000000000a2", "unsafe");
@@ -537,9 +539,9 @@
   t.note("discovery lists a second, active endpoint");
   call("500");  // of the first message, whose class was safe when it was accepted
   call("500");  // of the second message, whose class was not
-  t.said("relay", "discovery", "a notice", discovery.notice().dump());
+  t.add_message("relay", "discovery", "a notice", discovery.notice().dump());
   call("200");  // the first message again
-  t.said("relay", "log", relay.log_line("end"));
+  t.add_message("relay", "log", relay.log_line("end"));
   t.check();
 }
 
@@ -561,24 +563,24 @@
   const auto watch = [&](const json& list) {
     Socket call = discovery.accept();
     const auto request = read_request(call);
-    t.said("relay", "discovery", request ? request->first : "nothing");
+    t.add_message("relay", "discovery", request ? request->first : "nothing");
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", list.dump().size() + 1);
     call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + list.dump()) + "\n\r\n");
-    t.said("discovery", "relay", "200", list.dump());
+    t.add_message("discovery", "relay", "200", list.dump());
     return call;
   };
   const auto put = [&](const std::string& id, const std::string& facts) {
     Socket client = relay.client();
     client.send(put_bytes(id, facts, "ring"));
-    t.said("client", "relay", "MSG.PUT <key> " + id + " " + facts + " ring");
-    t.said("relay", "client", client.line());
+    t.add_message("client", "relay", "MSG.PUT <key> " + id + " " + facts + " ring");
+    t.add_message("relay", "client", client.line());
   };
   const auto call = [&] {
     const Request request = receiver.next();
-    t.said("relay", "receiver", request.first + " with " + request.headers.at("x-call-id"));
+    t.add_message("relay", "receiver", request.first + " with " + request.headers.at("x-call-id"));
     receiver.answer("200");
-    t.said("receiver", "relay", "200");
+    t.add_message("receiver", "relay", "200");
   };
   const Socket silent = watch(list_json(5, true, {member_json("s-1", before.address(), 7)}));
   const auto since = std::chrono::steady_clock::now();
@@ -590,7 +592,7 @@
                  member_json("s-2", receiver.address(), 7), member_json("s-3", receiver.address(), 8)}));
   call();
   EXPECT_LT(std::chrono::steady_clock::now() - since, std::chrono::seconds(6));
-  t.said("relay", "log", relay.log_line("watch_lost"));
+  t.add_message("relay", "log", relay.log_line("watch_lost"));
   put("00000000000000a2", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7");
   call();
   EXPECT_EQ(before.connections(), 0);
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -36,7 +36,7 @@
 std::string config_error(const std::string& toml) {
   try {
     read_config_text("f", toml);
-  } catch (const net::BadInput& error) {
+  } catch (const net::InvalidInput& error) {
     return error.what();
   }
   return "accepted";
@@ -80,26 +80,26 @@
 
 TEST(Backup, AcceptsOnlyACompleteListThatIsNotBehind) {
   const std::string list = list_json(7, {entry("a"), entry("b")});
-  const Backup made = checked_backup(backup_json(7, {entry("a"), entry("b", 7)}), list);
+  const BackupInfo made = verify_backup(backup_json(7, {entry("a"), entry("b", 7)}), list);
   EXPECT_EQ(made.revision, 7U);
-  EXPECT_EQ(made.entries, 2U);
-  EXPECT_NE(made.hash, checked_backup(backup_json(8, {entry("a")}), list).hash);  // written to in between
-  EXPECT_THROW(checked_backup(backup_json(6, {entry("a"), entry("b")}), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(7, {entry("a")}), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(7, {entry("a"), entry("c")}), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(8, {entry("a"), entry("a")}), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(8, {entry("a", 9)}), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(7, {entry("a"), entry("b")}, 2), list), BackupBroken);
-  EXPECT_THROW(checked_backup(backup_json(7, {entry("a")}).substr(0, 40), list), BackupBroken);
+  EXPECT_EQ(made.entry_count, 2U);
+  EXPECT_NE(made.hash, verify_backup(backup_json(8, {entry("a")}), list).hash);  // written to in between
+  EXPECT_THROW(verify_backup(backup_json(6, {entry("a"), entry("b")}), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(7, {entry("a")}), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(7, {entry("a"), entry("c")}), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(8, {entry("a"), entry("a")}), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(8, {entry("a", 9)}), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(7, {entry("a"), entry("b")}, 2), list), BackupBroken);
+  EXPECT_THROW(verify_backup(backup_json(7, {entry("a")}).substr(0, 40), list), BackupBroken);
 }
 
 TEST(Backup, RemovesOnlyTheOldestBackups) {
   std::vector<std::string> files = {"registry-list.json", "notes"};
-  for (const uint64_t revision : {900, 20, 1000}) files.push_back(Backup{revision, 5, 0, 0}.file());
-  const std::string oldest = Backup{20, 5, 0, 0}.file();
-  EXPECT_EQ(too_old(files, 2, ""), std::vector<std::string>{oldest});
-  EXPECT_TRUE(too_old(files, 2, oldest).empty());
-  EXPECT_TRUE(too_old(files, 3, "").empty());
+  for (const uint64_t revision : {900, 20, 1000}) files.push_back(BackupInfo{revision, 5, 0, 0}.file_name());
+  const std::string oldest = BackupInfo{20, 5, 0, 0}.file_name();
+  EXPECT_EQ(backups_to_remove(files, 2, ""), std::vector<std::string>{oldest});
+  EXPECT_TRUE(backups_to_remove(files, 2, oldest).empty());
+  EXPECT_TRUE(backups_to_remove(files, 3, "").empty());
 }
 
 json member(const std::string& id, const std::string& phase = "active") {
@@ -110,25 +110,25 @@
 }
 
 TEST(MirrorUpdates, MergesLinesThatArriveDuringAWrite) {
-  MirrorLines lines;
-  EXPECT_THROW(lines.told(line(4, false, {member("a")})),
+  MirrorUpdates lines;
+  EXPECT_THROW(lines.add_line(line(4, false, {member("a")})),
                WatchBroken);  // the first line must be a complete list
-  lines.told(line(4, true, {member("a"), member("b")}));
+  lines.add_line(line(4, true, {member("a"), member("b")}));
   const json whole = lines.take();
-  lines.told(line(5, false, {member("a", "leaving")}));
-  lines.told(line(6, false, {member("a", "left"), member("c")}));
+  lines.add_line(line(5, false, {member("a", "leaving")}));
+  lines.add_line(line(6, false, {member("a", "left"), member("c")}));
   lines.put_back(whole);  // the write failed
   const json next = lines.take();
   EXPECT_TRUE(next["complete"].get<bool>());
   EXPECT_EQ(next["members"], json({member("b"), member("c")}));
   EXPECT_EQ(next["revision"], 6);
   EXPECT_TRUE(lines.empty());
-  lines.told(line(7, false, {member("c", "left")}));
+  lines.add_line(line(7, false, {member("c", "left")}));
   EXPECT_EQ(lines.take()["members"],
             json({member("c", "left")}));  // after a partial line the removal is written
-  EXPECT_THROW(lines.told(line(3, false, {member("x")})), WatchBroken);
-  EXPECT_THROW(lines.told(R"({"revision":9,"complete":false,"members":[{"id":"x"}]})"), WatchBroken);
-  EXPECT_THROW(lines.told("[]"), WatchBroken);
+  EXPECT_THROW(lines.add_line(line(3, false, {member("x")})), WatchBroken);
+  EXPECT_THROW(lines.add_line(R"({"revision":9,"complete":false,"members":[{"id":"x"}]})"), WatchBroken);
+  EXPECT_THROW(lines.add_line("[]"), WatchBroken);
   EXPECT_TRUE(lines.empty());
 }
 
@@ -140,11 +140,11 @@
           answer->reply(reply(request));
         }) {}
   std::string address() const { return net::text_of(server_.address()); }
-  net::HttpReply reply(const net::HttpRequest& request);
+  net::HttpResponse reply(const net::HttpRequest& request);
 
-  std::map<std::string, net::HttpReply> replies;   // by path
-  std::vector<std::pair<json, int64_t>> mirrored;  // bodies with X-Lease-Token, and times in ms
-  std::vector<std::string> calls;                  // paths of all other calls
+  std::map<std::string, net::HttpResponse> replies;  // by path
+  std::vector<std::pair<json, int64_t>> mirrored;    // bodies with X-Lease-Token, and times in ms
+  std::vector<std::string> calls;                    // paths of all other calls
   std::string identity = "one";
   bool refuses_members = false;
   registry::LeaseTable leases;
@@ -156,7 +156,7 @@
   net::HttpServer server_;
 };
 
-net::HttpReply FakeRegistry::reply(const net::HttpRequest& request) {
+net::HttpResponse FakeRegistry::reply(const net::HttpRequest& request) {
   using Kind = registry::LeaseCommand::Kind;
   using ResultKind = registry::LeaseResult::Kind;
   static const std::map<std::string, Kind> kKinds = {{"campaign", Kind::kCampaign},
@@ -165,7 +165,7 @@
                                                      {"hand_over", Kind::kHandOver},
                                                      {"record", Kind::kCheckpoint}};
   const auto json_reply = [](int status, const json& body) {
-    return net::HttpReply{status, body.dump(), "application/json", {}};
+    return net::HttpResponse{status, body.dump(), "application/json", {}};
   };
   const std::string prefix = "/api/leases/";
   leases.tick(++at_, now());
@@ -182,7 +182,7 @@
         return json_reply(200, {{"outcome", result.kind == ResultKind::kGranted ? "held" : "waits"},
                                 {"token", result.token},
                                 {"holder", result.holder},
-                                {"place", result.place},
+                                {"place", result.queue_place},
                                 {"asked_back", result.release_requested},
                                 {"record", result.checkpoint}});
       case ResultKind::kFenced:
@@ -196,7 +196,7 @@
   }
   if (request.path == "/api/mirror") {
     const registry::Token token = std::strtoull(request.fields.at("x-lease-token").c_str(), nullptr, 10);
-    if (!leases.holds(request.fields.at("x-lease"), token))
+    if (!leases.is_current_token(request.fields.at("x-lease"), token))
       return json_reply(409, {{"code", "lease_fenced"}, {"error", "another holds it"}});
     json body = json::parse(request.body);
     if (refuses_members && !body["members"].empty()) return json_reply(400, {{"error", "no such list"}});
@@ -238,7 +238,7 @@
   std::vector<Call> calls;
 
  private:
-  void handle(const net::HttpRequest& request, net::HttpAnswer& answer) {
+  void handle(const net::HttpRequest& request, net::HttpResponder& answer) {
     Call call;
     call.token = std::strtoull(request.fields.at("x-lease-token").c_str(), nullptr, 10);
     if (request.fields.contains("x-lease-act")) call.number = json::parse(request.body)["number"];
@@ -387,10 +387,10 @@
       start(name, host + ":7101", ttl_ms, call_task({&server_x_, &server_y_}));
     wait_until([this] { return queue_length() == 1; }, "a second controller in the queue");
   }
-  std::optional<net::HttpReply> call_registry(const net::HttpCall& call) {
-    std::optional<net::HttpReply> out;
+  std::optional<net::HttpResponse> call_registry(const net::HttpCall& call) {
+    std::optional<net::HttpResponse> out;
     bool done = false;
-    net::http_call(io_, registry_, call, [&](std::optional<net::HttpReply> reply) {
+    net::http_call(io_, registry_, call, [&](std::optional<net::HttpResponse> reply) {
       out = std::move(reply);
       done = true;
     });
@@ -520,7 +520,7 @@
 
  private:
   void flush() {
-    if (pending_lines_.empty() || !stream_ || !stream_->idle()) return;
+    if (pending_lines_.empty() || !stream_ || !stream_->is_idle()) return;
     stream_->write(std::make_shared<std::string>(net::http_chunk(pending_lines_.front())));
     pending_lines_.pop_front();
   }
@@ -566,8 +566,8 @@
   EXPECT_FALSE(last()["complete"].get<bool>());
   EXPECT_EQ(discovery_.watch_indexes, std::vector<std::string>{"4"});  // one watch for both controllers
   const registry::Token token = last()["token"];
-  const std::string holder = registry_.leases.all().at("task/mirror").holder;
-  wait_until([this] { return !registry_.leases.all().at("task/mirror").queue.empty(); },
+  const std::string holder = registry_.leases.by_name().at("task/mirror").holder;
+  wait_until([this] { return !registry_.leases.by_name().at("task/mirror").queue.empty(); },
              "a second controller in the queue");
   ::kill(processes_.at(holder.substr(0, 1)), SIGKILL);
   discovery_.list = line(6, true, {member("c")});
@@ -627,8 +627,9 @@
         200, backup_json(backup_revision, {entry("a")}), "application/json", {}};
   }
   json checkpoint() const {
-    const auto it = registry_.leases.all().find("task/backup");
-    return it == registry_.leases.all().end() ? json() : json::parse(it->second.checkpoint, nullptr, false);
+    const auto it = registry_.leases.by_name().find("task/backup");
+    return it == registry_.leases.by_name().end() ? json()
+                                                  : json::parse(it->second.checkpoint, nullptr, false);
   }
   void wait_for_backup(uint64_t revision) {
     wait_until([&] { return checkpoint().is_object() && checkpoint()["revision"] == revision; }, "a backup");
@@ -655,7 +656,7 @@
     std::ifstream in(backup_folder_ + "/" + name);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
     EXPECT_EQ(bytes, backup_json(revision, {entry("a")}));
-    EXPECT_EQ(checked_backup(bytes, list_json(revision, {entry("a")})).file(), name);
+    EXPECT_EQ(verify_backup(bytes, list_json(revision, {entry("a")})).file_name(), name);
   }
   const std::set<std::string> last = {names[1], names[2]};
   wait_until([&] { return files() == last; }, "older backups to be removed");
@@ -672,7 +673,7 @@
   start_all({"a", "b"}, 4);
   wait_for_backup(7);
   const int64_t made = checkpoint()["at_ms"];
-  const auto& lease = registry_.leases.all().at("task/backup");
+  const auto& lease = registry_.leases.by_name().at("task/backup");
   wait_until([&] { return !lease.queue.empty(); }, "a second controller in the queue");
   const registry::Token token = lease.token;
   ::kill(processes_.at(lease.holder.substr(0, 1)), SIGKILL);
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -57,7 +57,7 @@
 std::string refusal(const std::string& toml) {
   try {
     parse_scenario("s.toml", toml);
-  } catch (const net::BadInput& error) {
+  } catch (const net::InvalidInput& error) {
     return error.what();
   }
   return "";
--- a/tests/lab/lease_history_test.cpp
+++ b/tests/lab/lease_history_test.cpp
@@ -127,10 +127,10 @@
     std::map<std::string, std::string> fields = {
         {"X-Lease", lease}, {"X-Lease-Token", token}, {"X-Lease-Holder", "h"}};
     if (fence_only) fields["X-Lease-Fence-Only"] = "1";
-    std::optional<net::HttpReply> out;
+    std::optional<net::HttpResponse> out;
     bool done = false;
     net::http_call(io, thing.address(), {"POST", "/act", fields, "{\"number\":4}", std::chrono::seconds(5)},
-                   [&](std::optional<net::HttpReply> reply) {
+                   [&](std::optional<net::HttpResponse> reply) {
                      out = std::move(reply);
                      done = true;
                    });
@@ -156,7 +156,7 @@
   boost::asio::io_context io;
   const auto home = boost::asio::ip::make_address("127.0.0.1");
   net::HttpServer server(
-      io, {home, 0}, {}, [&](const net::HttpRequest&, const std::shared_ptr<net::HttpAnswer>& to) {
+      io, {home, 0}, {}, [&](const net::HttpRequest&, const std::shared_ptr<net::HttpResponder>& to) {
         const std::string at = net::text_of(server.address());
         to->reply({307, at + " and " + at, "text/plain", {{"Location", "http://" + at + "/"}}});
       });
@@ -165,17 +165,17 @@
   const std::string to = net::text_of(link.address());
   link.rewrite(net::text_of(server.address()), to);
   const auto ask = [&] {
-    std::optional<net::HttpReply> out;
+    std::optional<net::HttpResponse> out;
     bool done = false;
     net::http_call(io, link.address(), {"GET", "/", {}, "", std::chrono::seconds(5)},
-                   [&](std::optional<net::HttpReply> reply) {
+                   [&](std::optional<net::HttpResponse> reply) {
                      out = std::move(reply);
                      done = true;
                    });
     while (!done) io.run_one();
-    return out.value_or(net::HttpReply{0, "", "", {}});
+    return out.value_or(net::HttpResponse{0, "", "", {}});
   };
-  const net::HttpReply reply = ask();
+  const net::HttpResponse reply = ask();
   EXPECT_EQ(reply.fields.at("location"), "http://" + to + "/");
   EXPECT_EQ(reply.body, to + " and " + to);
   LinkState late;
--- a/tests/lab/lease_scenario_test.cpp
+++ b/tests/lab/lease_scenario_test.cpp
@@ -27,7 +27,7 @@
   const auto refused = [](const std::string& fault) {
     try {
       lab::parse_lease_scenario("x", "[lease]\nseconds = 5\n[[fault]]\n" + fault);
-    } catch (const net::BadInput& e) {
+    } catch (const net::InvalidInput& e) {
       return std::string(e.what());
     }
     return std::string();
--- a/tests/lab/registry_scenario_test.cpp
+++ b/tests/lab/registry_scenario_test.cpp
@@ -13,7 +13,7 @@
 
 #include "lab/linearizability.h"
 #include "lab/report.h"
-#include "net/lines.h"
+#include "net/json_stream.h"
 #include "net/random.h"
 #include "registry/client_errors.h"
 #include "registry/config.h"
@@ -122,13 +122,13 @@
   ListGuard guard = knowing(10);
   EXPECT_EQ(guard.on_line(line(11, true, many(7)), "a", 1000).size(), 1U);
   EXPECT_TRUE(guard.on_line(line(12, true, many(3)), "a", 2000).empty());
-  EXPECT_TRUE(guard.holds());
+  EXPECT_TRUE(guard.has_unconfirmed_list());
   EXPECT_TRUE(guard.on_line(line(12, true, many(3)), "a", 2500).empty());  // the same one again says no more
-  EXPECT_EQ(guard.known().size(), 7U);
+  EXPECT_EQ(guard.members().size(), 7U);
   EXPECT_EQ(guard.revision(), 11);
   ASSERT_EQ(guard.on_line(line(13, true, many(3)), "b", 3000).size(), 1U);
-  EXPECT_FALSE(guard.holds());
-  EXPECT_EQ(guard.known().size(), 3U);
+  EXPECT_FALSE(guard.has_unconfirmed_list());
+  EXPECT_EQ(guard.members().size(), 3U);
 }
 
 TEST(ListGuard, TakesAnEmptyListOrAnotherNameAfterItsTimeOnly) {
@@ -162,7 +162,7 @@
   ListGuard guard = knowing(10);
   EXPECT_TRUE(guard.on_line(line(700, true, many(10), "two"), "a", 1000).empty());
   EXPECT_TRUE(guard.on_line(line(10, false, {}), "b", 2000).empty());
-  EXPECT_FALSE(guard.holds());
+  EXPECT_FALSE(guard.has_unconfirmed_list());
   EXPECT_TRUE(guard.tick(90'000).empty());
   EXPECT_EQ(guard.identity(), "one");
 }
@@ -177,7 +177,7 @@
   EXPECT_THROW(guard.on_line(cut, "a", 0), registry::ListUnreadable);
   EXPECT_THROW(guard.on_line(json::array(), "a", 0), registry::ListUnreadable);
   EXPECT_THROW(guard.restore(json::object()), registry::ListUnreadable);
-  EXPECT_EQ(guard.known().size(), 10U);
+  EXPECT_EQ(guard.members().size(), 10U);
 }
 
 TEST(RegistryConfig, SaysFileLineAndKey) {
@@ -186,7 +186,7 @@
   const auto refused = [](const std::string& text) {
     try {
       registry::read_config_text("f", text);
-    } catch (const net::BadInput& error) {
+    } catch (const net::InvalidInput& error) {
       return std::string(error.what());
     }
     return std::string("taken");
@@ -229,12 +229,12 @@
   }
   std::pair<int, json> call(const std::string& method, const std::string& target, const json& body = nullptr,
                             std::map<std::string, std::string> fields = {}) {
-    std::optional<net::HttpReply> reply;
+    std::optional<net::HttpResponse> reply;
     bool done = false;
     net::http_call(
         io_, http_,
         {method, target, std::move(fields), body.is_null() ? "" : body.dump(), std::chrono::seconds(20)},
-        [&](std::optional<net::HttpReply> got) {
+        [&](std::optional<net::HttpResponse> got) {
           reply = std::move(got);
           done = true;
         });
@@ -246,13 +246,13 @@
   // it; empty ones are left out.
   std::vector<json> watch(const std::string& query, size_t least, int wait_ms) {
     std::vector<json> out;
-    const auto lines = std::make_shared<net::Lines>(
+    const auto lines = std::make_shared<net::JsonStream>(
         io_, http_, std::chrono::seconds(20),
         [&](const std::string& line) {
           if (!line.empty()) out.push_back(json::parse(line));
           return true;
         },
-        [](net::Lines::End) {});
+        [](net::JsonStream::EndReason) {});
     lines->start("/api/targets?stream=1" + query);
     until([&] { return out.size() >= least; });
     io_.run_for(std::chrono::milliseconds(wait_ms));
@@ -386,7 +386,7 @@
 
 TEST_F(OneMember, GivesALeaseAWholeTtlOnceItLeadsAnew) {
   const json campaign = {{"call", "campaign"}, {"holder", "a"}, {"ttl_ms", 1000}};
-  const auto lease = [this] { return service_->state().leases().all().at("l"); };
+  const auto lease = [this] { return service_->state().leases().by_name().at("l"); };
   until([&] { return call("POST", "/api/leases/l", campaign).second["outcome"] == "held"; });
   until([&] { return service_->state().now() >= lease().from_ms + 500; });
   const registry::Millis before = service_->state().now();
@@ -431,7 +431,7 @@
   EXPECT_EQ(call("GET", "/api/targets/m").first, 404);
   EXPECT_EQ(put(list), 200);
   EXPECT_EQ(call("GET", "/api/targets/m").second["phase"], "leaving");
-  until([&] { return service_->state().source_ms() > 3000; });
+  until([&] { return service_->state().max_source_age_ms() > 3000; });
   json last;
   for (const json& line : watch("", 1, 4500)) last = line;
   EXPECT_GT(last.value("source_ms", 0), 3000);
--- a/tests/lease/lease_client_test.cpp
+++ b/tests/lease/lease_client_test.cpp
@@ -25,7 +25,7 @@
           if (defer_replies) return deferred.push_back(answer);
           answer->reply(make_reply(calls.back()));
         }) {}
-  net::HttpReply make_reply(const std::string& call) const {
+  net::HttpResponse make_reply(const std::string& call) const {
     if (!leader.empty()) return {307, "", "", {{"Location", "http://" + leader + "/api/leases/task/x"}}};
     if (has_no_leader) return {503, R"({"code":"no_leader","error":"none"})", "application/json", {}};
     const json body = {{"outcome", "held"},
@@ -45,7 +45,7 @@
   bool release_requested = false;
   bool defer_replies = false;
   std::vector<std::string> calls;
-  std::deque<std::shared_ptr<net::HttpAnswer>> deferred;
+  std::deque<std::shared_ptr<net::HttpResponder>> deferred;
 
  private:
   net::HttpServer server_;
@@ -56,11 +56,11 @@
   void start_client(std::vector<net::tcp::endpoint> members, double clock_rate = 1, uint64_t seed = 1,
                     Time ttl = 1'000'000) {
     LeaseClientSettings settings;
-    settings.holder.name = "task/x";
-    settings.holder.holder = "p1";
-    settings.holder.ttl = ttl;
-    settings.holder.answer = 400'000;
-    settings.holder.seed = seed;
+    settings.lease.name = "task/x";
+    settings.lease.holder = "p1";
+    settings.lease.ttl = ttl;
+    settings.lease.reply_timeout = 400'000;
+    settings.lease.seed = seed;
     settings.members = std::move(members);
     settings.clock_rate = clock_rate;
     client_ = std::make_unique<LeaseClient>(
--- a/tests/lease/lease_state_test.cpp
+++ b/tests/lease/lease_state_test.cpp
@@ -18,7 +18,7 @@
   settings.name = "task/a";
   settings.holder = "p1";
   settings.ttl = 1000 * kMs;
-  settings.answer = 200 * kMs;
+  settings.reply_timeout = 200 * kMs;
   settings.seed = 7;
   return settings;
 }
@@ -50,7 +50,7 @@
 };
 // Ticks the state until it sends the next request.
 SentRequest next_request(LeaseState& state, Time limit = kNever) {
-  for (Time at = state.next(); at < limit; at = state.next()) {
+  for (Time at = state.next_tick(); at < limit; at = state.next_tick()) {
     const auto requests = actions_of<LeaseRequest>(state.tick(at));
     if (!requests.empty()) return {at, requests.front()};
   }
@@ -63,7 +63,7 @@
   explicit Holder(LeaseSettings settings = make_settings()) : state(std::move(settings)) {
     const LeaseRequest first = only_request(state.start(0));
     EXPECT_EQ(first.kind, LeaseRequest::Kind::kCampaign);
-    const auto actions = state.answered(100 * kMs, first.number, granted_reply(5));
+    const auto actions = state.on_reply(100 * kMs, first.number, granted_reply(5));
     EXPECT_EQ(actions_of<LeaseAcquired>(actions).size(), 1U);
     EXPECT_EQ(actions_of<LeaseAcquired>(actions).front().checkpoint, "left");
   }
@@ -77,7 +77,7 @@
   const SentRequest renewal = next_request(holder.state);
   EXPECT_EQ(renewal.request.kind, LeaseRequest::Kind::kRenew);
   EXPECT_EQ(renewal.request.token, 5U);
-  holder.state.answered(renewal.at + 150 * kMs, renewal.request.number, granted_reply(5));
+  holder.state.on_reply(renewal.at + 150 * kMs, renewal.request.number, granted_reply(5));
   EXPECT_EQ(holder.state.held_until(), renewal.at + 750 * kMs);
 }
 
@@ -93,7 +93,7 @@
       ASSERT_EQ(renewal.request.kind, LeaseRequest::Kind::kRenew);
       intervals.push_back(renewal.at - sent);
       sent = renewal.at;
-      holder.state.answered(sent + 1 * kMs, renewal.request.number, granted_reply(5));
+      holder.state.on_reply(sent + 1 * kMs, renewal.request.number, granted_reply(5));
     }
   }
   const auto [min, max] = std::minmax_element(intervals.begin(), intervals.end());
@@ -106,7 +106,7 @@
   Holder holder;
   int renewals = 0;
   for (;;) {
-    const Time at = holder.state.next();
+    const Time at = holder.state.next_tick();
     const auto actions = holder.state.tick(at);
     const auto losses = actions_of<LeaseLost>(actions);
     if (!losses.empty()) {
@@ -130,17 +130,17 @@
   const SentRequest second = next_request(holder.state);
   ASSERT_EQ(second.request.kind, LeaseRequest::Kind::kRenew);
   // Neither a rejection nor a grant counts in a reply that is late, unknown or duplicated.
-  EXPECT_TRUE(actions_of<LeaseLost>(holder.state.answered(second.at, first.request.number,
+  EXPECT_TRUE(actions_of<LeaseLost>(holder.state.on_reply(second.at, first.request.number,
                                                           make_reply(LeaseReply::Kind::kFenced)))
                   .empty());
   EXPECT_TRUE(
-      actions_of<LeaseLost>(holder.state.answered(second.at, 99, make_reply(LeaseReply::Kind::kFenced)))
+      actions_of<LeaseLost>(holder.state.on_reply(second.at, 99, make_reply(LeaseReply::Kind::kFenced)))
           .empty());
-  holder.state.answered(second.at, first.request.number, granted_reply(5));
+  holder.state.on_reply(second.at, first.request.number, granted_reply(5));
   EXPECT_EQ(holder.state.held_until(), 750 * kMs);
-  holder.state.answered(second.at + 1 * kMs, second.request.number, granted_reply(5));
+  holder.state.on_reply(second.at + 1 * kMs, second.request.number, granted_reply(5));
   EXPECT_EQ(holder.state.held_until(), second.at + 750 * kMs);
-  const auto duplicate = holder.state.answered(second.at + 2 * kMs, second.request.number,
+  const auto duplicate = holder.state.on_reply(second.at + 2 * kMs, second.request.number,
                                                make_reply(LeaseReply::Kind::kFenced));
   EXPECT_TRUE(actions_of<LeaseLost>(duplicate).empty());
   EXPECT_EQ(holder.state.token(), 5U);
@@ -149,16 +149,16 @@
 TEST(LeaseState, IgnoresReplyAfterTimeoutWithoutTick) {
   LeaseState state(make_settings());
   const LeaseRequest first = only_request(state.start(0));
-  EXPECT_TRUE(actions_of<LeaseAcquired>(state.answered(200 * kMs, first.number, granted_reply(5))).empty());
+  EXPECT_TRUE(actions_of<LeaseAcquired>(state.on_reply(200 * kMs, first.number, granted_reply(5))).empty());
   EXPECT_EQ(state.token(), 0U);
 }
 
 TEST(LeaseState, IgnoresGrantThatExpiredBeforeArrival) {
   LeaseSettings settings = make_settings();
-  settings.answer = 900 * kMs;
+  settings.reply_timeout = 900 * kMs;
   LeaseState state(settings);
   const LeaseRequest first = only_request(state.start(0));
-  EXPECT_TRUE(actions_of<LeaseAcquired>(state.answered(800 * kMs, first.number, granted_reply(5))).empty());
+  EXPECT_TRUE(actions_of<LeaseAcquired>(state.on_reply(800 * kMs, first.number, granted_reply(5))).empty());
   EXPECT_FALSE(state.is_held(800 * kMs));
   EXPECT_EQ(next_request(state).request.kind, LeaseRequest::Kind::kCampaign);
 }
@@ -168,7 +168,7 @@
     Holder holder;
     const SentRequest renewal = next_request(holder.state);
     const auto losses =
-        actions_of<LeaseLost>(holder.state.answered(renewal.at + 1, renewal.request.number, reply));
+        actions_of<LeaseLost>(holder.state.on_reply(renewal.at + 1, renewal.request.number, reply));
     ASSERT_EQ(losses.size(), 1U);
     EXPECT_EQ(losses.front().reason, "fenced");
     EXPECT_FALSE(holder.state.is_held(renewal.at + 1));
@@ -180,7 +180,7 @@
   LeaseState state(make_settings());
   SentRequest last{0, only_request(state.start(0))};
   for (int i = 0; i < 20; ++i) {
-    state.answered(last.at + 1 * kMs, last.request.number, make_reply(LeaseReply::Kind::kQueued));
+    state.on_reply(last.at + 1 * kMs, last.request.number, make_reply(LeaseReply::Kind::kQueued));
     const SentRequest again = next_request(state);
     EXPECT_EQ(again.request.kind, LeaseRequest::Kind::kCampaign);
     EXPECT_LT(again.at - last.at, 250 * kMs);
@@ -194,7 +194,7 @@
   LeaseRequest request = only_request(state.start(0));
   Time max_pause = 0;
   for (int i = 0; i < 40; ++i) {
-    state.answered(now, request.number, make_reply(LeaseReply::Kind::kFailed));
+    state.on_reply(now, request.number, make_reply(LeaseReply::Kind::kFailed));
     const SentRequest again = next_request(state);
     EXPECT_LE(again.at - now, std::min<Time>(2'000 * kMs, 50 * kMs << std::min(i, 10)));
     max_pause = std::max(max_pause, again.at - now);
@@ -202,21 +202,21 @@
     request = again.request;
   }
   EXPECT_GT(max_pause, 1'000 * kMs);
-  state.answered(now, request.number, make_reply(LeaseReply::Kind::kRefused, 5'000 * kMs));
+  state.on_reply(now, request.number, make_reply(LeaseReply::Kind::kRefused, 5'000 * kMs));
   const SentRequest again = next_request(state);
   EXPECT_GE(again.at - now, 5'000 * kMs);
-  state.answered(again.at, again.request.number, make_reply(LeaseReply::Kind::kRefused, kNever));
+  state.on_reply(again.at, again.request.number, make_reply(LeaseReply::Kind::kRefused, kNever));
   EXPECT_LT(next_request(state).at - again.at, 100'000 * kMs);
 }
 
 TEST(LeaseState, ReleasesOnRequestAndCampaignsAgainOnceAnswered) {
   Holder holder;
   const SentRequest renewal = next_request(holder.state);
-  holder.state.answered(renewal.at, renewal.request.number, granted_reply(5, true));
+  holder.state.on_reply(renewal.at, renewal.request.number, granted_reply(5, true));
   EXPECT_TRUE(holder.state.release_requested());
   EXPECT_TRUE(holder.state.is_held(renewal.at));  // acts in flight may finish
   const SentRequest more = next_request(holder.state);
-  holder.state.answered(more.at, more.request.number, granted_reply(5, false));
+  holder.state.on_reply(more.at, more.request.number, granted_reply(5, false));
   EXPECT_TRUE(holder.state.release_requested());
   const Time now = more.at + 10 * kMs;
   const auto actions = holder.state.release(now);
@@ -229,7 +229,7 @@
   // The release is not answered: it is repeated, and only after its reply the state campaigns again.
   const SentRequest again = next_request(holder.state);
   EXPECT_EQ(again.request.kind, LeaseRequest::Kind::kRelease);
-  holder.state.answered(again.at, again.request.number, make_reply(LeaseReply::Kind::kFenced));
+  holder.state.on_reply(again.at, again.request.number, make_reply(LeaseReply::Kind::kFenced));
   EXPECT_EQ(next_request(holder.state).request.kind, LeaseRequest::Kind::kCampaign);
 }
 
@@ -241,15 +241,15 @@
   SentRequest campaign = next_request(holder.state);
   while (campaign.request.kind == LeaseRequest::Kind::kRelease) campaign = next_request(holder.state);
   ASSERT_EQ(campaign.request.kind, LeaseRequest::Kind::kCampaign);
-  const auto actions = holder.state.answered(campaign.at, campaign.request.number, granted_reply(5));
+  const auto actions = holder.state.on_reply(campaign.at, campaign.request.number, granted_reply(5));
   EXPECT_TRUE(actions_of<LeaseAcquired>(actions).empty());
   const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(release.token, 5U);
   EXPECT_FALSE(holder.state.is_held(campaign.at));
-  holder.state.answered(campaign.at, release.number, granted_reply(0));
+  holder.state.on_reply(campaign.at, release.number, granted_reply(0));
   const SentRequest again = next_request(holder.state);
-  EXPECT_EQ(actions_of<LeaseAcquired>(holder.state.answered(again.at, again.request.number, granted_reply(6)))
+  EXPECT_EQ(actions_of<LeaseAcquired>(holder.state.on_reply(again.at, again.request.number, granted_reply(6)))
                 .size(),
             1U);
 }
@@ -260,18 +260,18 @@
   EXPECT_EQ(actions_of<LeaseLost>(actions).front().reason, "closed");
   const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
-  holder.state.answered(310 * kMs, release.number, granted_reply(5));
-  EXPECT_EQ(holder.state.next(), kNever);
+  holder.state.on_reply(310 * kMs, release.number, granted_reply(5));
+  EXPECT_EQ(holder.state.next_tick(), kNever);
 
   // Without a reply it finishes once the lease has expired.
   Holder unanswered;
   unanswered.state.close(300 * kMs);
   Time at = 300 * kMs;
-  for (int i = 0; i < 100 && unanswered.state.next() != kNever; ++i) {
-    at = unanswered.state.next();
+  for (int i = 0; i < 100 && unanswered.state.next_tick() != kNever; ++i) {
+    at = unanswered.state.next_tick();
     unanswered.state.tick(at);
   }
-  EXPECT_EQ(unanswered.state.next(), kNever);
+  EXPECT_EQ(unanswered.state.next_tick(), kNever);
   EXPECT_GE(at, 1'000 * kMs);
   EXPECT_LE(at, 1'600 * kMs);
 }
@@ -280,7 +280,7 @@
   LeaseState state(make_settings());
   const LeaseRequest first = only_request(state.start(0));
   EXPECT_TRUE(state.close(10 * kMs).empty());
-  const auto actions = state.answered(20 * kMs, first.number, granted_reply(5));
+  const auto actions = state.on_reply(20 * kMs, first.number, granted_reply(5));
   EXPECT_TRUE(actions_of<LeaseAcquired>(actions).empty());
   const LeaseRequest release = only_request(actions);
   EXPECT_EQ(release.kind, LeaseRequest::Kind::kRelease);
@@ -289,7 +289,7 @@
 
   LeaseState waiting(make_settings());
   const LeaseRequest second = only_request(waiting.start(0));
-  waiting.answered(1 * kMs, second.number, make_reply(LeaseReply::Kind::kQueued));
+  waiting.on_reply(1 * kMs, second.number, make_reply(LeaseReply::Kind::kQueued));
   const LeaseRequest place = only_request(waiting.close(10 * kMs));
   EXPECT_EQ(place.kind, LeaseRequest::Kind::kRelease);
   EXPECT_EQ(place.token, 0U);
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -19,7 +19,7 @@
   void start_server(HttpLimits limits) {
     const tcp::endpoint any(boost::asio::ip::address_v4::loopback(), 0);
     server_ = std::make_unique<HttpServer>(
-        io_, any, limits, [this](const HttpRequest& request, const std::shared_ptr<HttpAnswer>& answer) {
+        io_, any, limits, [this](const HttpRequest& request, const std::shared_ptr<HttpResponder>& answer) {
           if (request.path == "/keep") return pending_.push_back(answer);
           if (request.path != "/watch") return answer->reply({200, "yes", "text/plain", {}});
           streams_.push_back(answer->stream(
@@ -75,22 +75,22 @@
 
   boost::asio::io_context io_;
   std::unique_ptr<HttpServer> server_;
-  std::deque<std::shared_ptr<HttpAnswer>> pending_;
+  std::deque<std::shared_ptr<HttpResponder>> pending_;
   std::vector<std::shared_ptr<HttpStream>> streams_;
   int ended_streams_ = 0;
 };
 
 HttpLimits connection_limit(size_t connections) {
   HttpLimits out;
-  out.connections = connections;
+  out.max_connections = connections;
   return out;
 }
 
 HttpLimits small_body_limits(milliseconds linger) {
   HttpLimits out;
-  out.body = 1000;
-  out.linger = linger;
-  out.write = milliseconds(10 * testing::kDeadlineMs);
+  out.max_body_bytes = 1000;
+  out.linger_timeout = linger;
+  out.write_timeout = milliseconds(10 * testing::kDeadlineMs);
   return out;
 }
 
@@ -177,8 +177,8 @@
   Socket newest = connect(request_text());
   EXPECT_EQ(read_status(newest), 200);
   run_until([this] { return ended_streams_ == 1; });
-  EXPECT_FALSE(streams_[0]->idle());
-  EXPECT_TRUE(streams_[1]->idle());
+  EXPECT_FALSE(streams_[0]->is_idle());
+  EXPECT_TRUE(streams_[1]->is_idle());
 }
 
 TEST_F(HttpServerTest, KeepsConnectionsThatAwaitResponseAtLimit) {
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -31,15 +31,15 @@
   JsonSplitter splitter;
   splitter.add("{\"a\":1,\n \n");
   EXPECT_FALSE(splitter.next());
-  EXPECT_TRUE(splitter.within());
-  EXPECT_EQ(splitter.told(), 7U);  // blanks do not count
+  EXPECT_TRUE(splitter.is_within_text());
+  EXPECT_EQ(splitter.non_blank_bytes(), 7U);  // blanks do not count
 }
 
 TEST(Backoff, RespectsMaxDelayAndStillWidensSpan) {
   Backoff backoff(10, 1);
-  for (int i = 0; i < 100; ++i) EXPECT_LE(backoff.next(std::chrono::milliseconds(1000)).count(), 1000);
+  for (int i = 0; i < 100; ++i) EXPECT_LE(backoff.next_delay(std::chrono::milliseconds(1000)).count(), 1000);
   std::chrono::milliseconds longest{0};
-  for (int i = 0; i < 100; ++i) longest = std::max(longest, backoff.next());
+  for (int i = 0; i < 100; ++i) longest = std::max(longest, backoff.next_delay());
   EXPECT_GT(longest.count(), 2000);  // wider than the first, 1.2 s
 }
 
@@ -47,14 +47,15 @@
 // distance.
 TEST(Backoff, SpacesStartsOfFailedCalls) {
   Backoff backoff(300, 1);
-  backoff.next();
+  backoff.next_delay();
   for (const int took : {0, 150, 2150, 3000, 3800, 9000}) {
-    EXPECT_EQ(backoff.again(std::chrono::milliseconds(took)).count(), std::max(0, 3800 - took)) << took;
+    EXPECT_EQ(backoff.delay_after_failure(std::chrono::milliseconds(took)).count(), std::max(0, 3800 - took))
+        << took;
   }
   Backoff alone(1, 1);
-  EXPECT_LE(alone.next().count(), 50);
+  EXPECT_LE(alone.next_delay().count(), 50);
   for (const int distance : {100, 200, 400, 800, 1600, 2000, 2000}) {
-    EXPECT_EQ(alone.again(std::chrono::milliseconds(0)).count(), distance);
+    EXPECT_EQ(alone.delay_after_failure(std::chrono::milliseconds(0)).count(), distance);
   }
 }
 
@@ -74,12 +75,12 @@
   const std::string out = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(out.find("small"), std::string::npos);
   EXPECT_NE(out.find(" level=error event=large n=2\n"), std::string::npos) << out;
-  EXPECT_THROW(log::set_level("loud"), BadInput);
+  EXPECT_THROW(log::set_level("loud"), InvalidInput);
 }
 
 TEST(Log, IncludesErrorCodeAndAction) {
   ::testing::internal::CaptureStderr();
-  log::failed(log::Level::kWarn, "rejected", BadInput("f:1: no"), "by", "me");
+  log::failed(log::Level::kWarn, "rejected", InvalidInput("f:1: no"), "by", "me");
   const std::string out = ::testing::internal::GetCapturedStderr();
   EXPECT_NE(
       out.find(" level=warning event=rejected by=me code=bad_input what=\"f:1: no\" action=\"mend what is "
--- a/tests/policy/checked_policy.h
+++ b/tests/policy/checked_policy.h
@@ -48,7 +48,7 @@
     return out;
   }
 
-  size_t count_ejected_endpoints(Time now) const { return policy_.ejected_endpoints(now); }
+  size_t count_ejected_endpoints(Time now) const { return policy_.count_ejected_endpoints(now); }
   size_t unanswered() const { return checker_.unanswered(); }
 
  private:
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -18,7 +18,7 @@
 
 // Returns a list with a limit so high that only the retry budget bounds retries.
 EndpointListChanged list_with_high_limit(Settings& settings) {
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   EndpointInfo info = endpoint_info(1);
   info.weight = 1e6;
   return endpoint_list({info});
@@ -548,7 +548,7 @@
 // Rejections by a limit shared with other relays decrease the send rate, and do not mean an outage.
 TEST(RateLimiter, DecreasesSendRateOnRejections) {
   Settings settings = default_settings();
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   settings.relay_count = 2;
   CheckedPolicy relay(settings);
   EndpointInfo info = endpoint_info(1);
@@ -580,7 +580,7 @@
 int count_attempts_to_failed_destination(Time interval, Time until, int relays = 3) {
   Settings settings = default_settings();
   settings.relay_count = relays;
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   CheckedPolicy relay(settings);
   EndpointInfo info = endpoint_info(1);
   info.weight = 4;
@@ -618,7 +618,7 @@
 TEST(RateLimiter, ServesRareCallerAtOnce) {
   Settings settings = default_settings();
   settings.relay_count = 300;
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   CheckedPolicy relay(settings);
   EndpointInfo info = endpoint_info(1);
   info.weight = 4;
@@ -697,7 +697,7 @@
 Settings reporting(int relays) {
   Settings settings = default_settings();
   settings.relay_count = relays;
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   settings.report_limit_remaining_index = 0;
   settings.report_limit_index = 1;
   return settings;
@@ -1166,7 +1166,7 @@
   Settings settings = default_settings();
   settings.max_concurrent_calls = 100;
   settings.max_pending_messages = 1000;
-  settings.weights = Weights::kNominal;
+  settings.weight_meaning = WeightMeaning::kNominal;
   EndpointInfo limited = endpoint_info(1);
   limited.weight = 10;
   CheckedPolicy relay(settings);
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -27,7 +27,7 @@
   settings.list_needs_watch = seed % 3 == 1;
   settings.list_poll_interval = 10 * kSecond;
   settings.max_pending_messages = 60;
-  settings.weights = seed % 5 == 0 ? Weights::kNominal : Weights::kNone;
+  settings.weight_meaning = seed % 5 == 0 ? WeightMeaning::kNominal : WeightMeaning::kNone;
   settings.late_weight_halves = seed % 2 == 1;
   settings.cost_handshake = settings.cost_cross_zone = 0.03;
   return settings;
--- a/tests/policy/send_queue_test.cpp
+++ b/tests/policy/send_queue_test.cpp
@@ -19,7 +19,7 @@
   Message message(uint64_t id) {
     constexpr double kLateShares[] = {0, 0.3, 1};
     Message message;
-    ClassSettings& terms = message.terms;
+    ClassSettings& terms = message.class_settings;
     terms.idempotency = static_cast<Idempotency>(below(3));
     terms.deduplication_scope = below(2) == 0 ? DeduplicationScope::kAll : DeduplicationScope::kZone;
     terms.latency_objective = static_cast<Time>(1 + below(3)) * kSecond;
@@ -78,8 +78,8 @@
     ASSERT_EQ(candidate->id, expected.id);
     ASSERT_EQ(candidate->negated_weight_per_slot_second, expected.negated_weight_per_slot_second);
     const SendGroup group = send_group(messages.at(expected.id));
-    EXPECT_FALSE(order.class_of_next().group < group || group < order.class_of_next().group);
-    order.pass();
+    EXPECT_FALSE(order.subgroup_of_next().group < group || group < order.subgroup_of_next().group);
+    order.advance();
     const auto also_sent = messages.lower_bound(1 + random.below(120));
     if (random.below(3) != 0 || also_sent == messages.end()) continue;
     queue.remove(also_sent->second);
@@ -113,11 +113,11 @@
   SendQueue queue;
   for (uint64_t id = 1; id <= 60; ++id) queue.add(messages[id] = random.message(id));
   SendOrder order(queue, 5 * kSecond, 0.1, true);
-  order.drop_if([](const SendOrder::Class& subgroup) { return subgroup.group.is_retry; });
+  order.drop_if([](const SendOrder::Subgroup& subgroup) { return subgroup.group.is_retry; });
   std::set<uint64_t> taken;
   for (auto candidate = order.next(); candidate; candidate = order.next()) {
     taken.insert(candidate->id);
-    order.pass();
+    order.advance();
   }
   for (const auto& [id, message] : messages) EXPECT_EQ(taken.contains(id), !message.is_retry) << id;
 }
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -71,7 +71,7 @@
   EXPECT_EQ(settings.max_pending_messages, 359);
   EXPECT_TRUE(settings.late_weight_halves);
   EXPECT_TRUE(settings.list_needs_watch);
-  EXPECT_EQ(settings.weights, Weights::kNominal);
+  EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNominal);
   EXPECT_EQ(settings.report_limit_remaining_index, 0);
   EXPECT_EQ(settings.report_limit_index, 1);
   EXPECT_EQ(settings.slow_start_duration, 12'000'000);
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -55,7 +55,7 @@
     settings_.overload_factor = kOverloadFactor;
     settings_.initial_capacity_share = kInitialCapacityShare;
     settings_.connect_timeout = kSecond;
-    settings_.weights = plan.limit_is_listed ? Weights::kNominal : Weights::kNone;
+    settings_.weight_meaning = plan.limit_is_listed ? WeightMeaning::kNominal : WeightMeaning::kNone;
     capacity_ = kCapacityPerLoad * plan.rate;
     recovery_at_ = kOutageStart + plan.outage_duration;
     double sum = 0;
--- a/tests/policy/waiting_messages_test.cpp
+++ b/tests/policy/waiting_messages_test.cpp
@@ -30,8 +30,8 @@
     message.arrival.possibly_run_since = now_ - up_to(3 * kSecond);
     message.arrival.attempts = static_cast<int>(below(3));
     message.max_attempts = 2;
-    message.terms.idempotency = static_cast<Idempotency>(below(3));
-    message.terms.deduplication_window = 3 * kSecond;
+    message.class_settings.idempotency = static_cast<Idempotency>(below(3));
+    message.class_settings.deduplication_window = 3 * kSecond;
     if (below(2) == 0) message.not_before = now_ + up_to(kSecond);
     waiting_.add(message, now_, kTick);
   }
@@ -62,7 +62,7 @@
     EXPECT_EQ(waiting_.expired(now_), scan(is_expired));
     EXPECT_EQ(waiting_.next_last_start(), earliest([](const Message& m) { return last_start(m, kTick); }));
     const Time opens = now_ + up_to(3 * kSecond);
-    EXPECT_EQ(waiting_.last_start_until(1, opens), scan([opens](const Message& message) {
+    EXPECT_EQ(waiting_.must_start_by(1, opens), scan([opens](const Message& message) {
                 return message.arrival.destination == 1 && last_start(message, kTick) <= opens;
               }));
     waiting_.end_pauses(now_, messages_);
@@ -112,7 +112,7 @@
     message.arrival.id = id;
     message.arrival.deadline = 10 * kSecond;
     message.arrival.ordering_key = 7;
-    message.terms.in_order = true;
+    message.class_settings.in_order = true;
     waiting.add(message, 0, kTick);
   }
   const auto queued = [&] { return !waiting.send_queues()[0].empty(); };
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -27,21 +27,21 @@
 TEST(LeaseTable, GrantsToOneHolderThenInQueueOrder) {
   LeaseTable table;
   EXPECT_EQ(table.apply(1, 0, campaign("a")).token, 1U);
-  EXPECT_EQ(table.apply(2, 100, campaign("b")).place, 1U);
-  EXPECT_EQ(table.apply(3, 100, campaign("c")).place, 2U);
+  EXPECT_EQ(table.apply(2, 100, campaign("b")).queue_place, 1U);
+  EXPECT_EQ(table.apply(3, 100, campaign("c")).queue_place, 2U);
   const LeaseResult again = table.apply(4, 200, campaign("a"));  // the same grant, renewed
   EXPECT_EQ(again.kind, Kind::kGranted);
   EXPECT_EQ(again.token, 1U);
   EXPECT_EQ(table.apply(5, 900, campaign("c")).kind, Kind::kQueued);
   table.tick(6, 1199);
-  EXPECT_TRUE(table.holds("l", 1));
+  EXPECT_TRUE(table.is_current_token("l", 1));
   table.tick(7, 1200);  // b's place in the queue has expired as well
-  EXPECT_FALSE(table.holds("l", 1));
+  EXPECT_FALSE(table.is_current_token("l", 1));
   EXPECT_EQ(table.apply(8, 1200, campaign("c")).token, 7U);
-  EXPECT_EQ(table.all().at("l").past_holders.back().end_reason, "expired");
+  EXPECT_EQ(table.by_name().at("l").past_holders.back().end_reason, "expired");
   EXPECT_EQ(table.apply(9, 1201, make_call(Call::kRenew, "a", 1)).kind, Kind::kFenced);
   EXPECT_EQ(table.apply(10, 1202, make_call(Call::kRelease, "c", 7)).token, 0U);
-  EXPECT_TRUE(table.all().at("l").holder.empty());
+  EXPECT_TRUE(table.by_name().at("l").holder.empty());
 }
 
 TEST(LeaseTable, DoesNotRenewExpiredGrantWithoutTick) {
@@ -65,7 +65,7 @@
     EXPECT_EQ(table.apply(7, 0, make_call(kind, "b", 1, "x")).kind, Kind::kFenced);
     EXPECT_EQ(table.apply(8, 0, make_call(kind, "a", 4, "x")).kind, Kind::kFenced);
   }
-  EXPECT_EQ(table.all().at("l").checkpoint, "done: 7");
+  EXPECT_EQ(table.by_name().at("l").checkpoint, "done: 7");
   EXPECT_EQ(table.counts().fenced, 9U);
 }
 
@@ -77,7 +77,7 @@
   table.apply(2, 900, campaign("b"));
   table.apply(3, 900, campaign("c"));
   EXPECT_EQ(table.apply(4, 1000, make_call(Call::kRelease, "b", 4)).kind, Kind::kFenced);
-  EXPECT_EQ(table.all().at("l").holder, "b");
+  EXPECT_EQ(table.by_name().at("l").holder, "b");
 }
 
 TEST(LeaseTable, HandsOverToNamedWaiter) {
@@ -93,7 +93,7 @@
   EXPECT_TRUE(table.apply(9, 0, make_call(Call::kRenew, "a", 1)).release_requested);
   const LeaseResult released = table.apply(10, 0, make_call(Call::kRelease, "a", 1));
   EXPECT_EQ(released.holder, "c");
-  EXPECT_EQ(table.all().at("l").past_holders.back().end_reason, "handed_over");
+  EXPECT_EQ(table.by_name().at("l").past_holders.back().end_reason, "handed_over");
   EXPECT_FALSE(table.apply(11, 0, campaign("c")).release_requested);
   // The named waiter leaves the queue, so the next one gets the lease.
   table.apply(12, 0, campaign("d"));
@@ -106,11 +106,11 @@
   LeaseTable table;
   table.apply(1, 0, campaign("a"));
   table.apply(2, 900, campaign("b"));
-  table.leader_elected(950);
+  table.on_leader_elected(950);
   table.tick(3, 1949);
-  EXPECT_TRUE(table.holds("l", 1));
+  EXPECT_TRUE(table.is_current_token("l", 1));
   table.tick(4, 1950);
-  EXPECT_FALSE(table.holds("l", 1));
+  EXPECT_FALSE(table.is_current_token("l", 1));
 }
 
 TEST(LeaseTable, GrantsNothingDuringGracePeriodOfNewTable) {
@@ -123,7 +123,7 @@
   EXPECT_EQ(refused.retry_after_ms, 29'000);
   EXPECT_EQ(table.apply(4, 1100, {Call::kRenew, "stands", "a", 0, 1, "", ""}).kind, Kind::kGranted);
   table.apply(5, 1200, {Call::kRelease, "stands", "a", 0, 1, "", ""});
-  EXPECT_EQ(table.all().at("stands").holder, "");  // b stays in the queue
+  EXPECT_EQ(table.by_name().at("stands").holder, "");  // b stays in the queue
   table.tick(6, 30'099);
   EXPECT_EQ(table.apply(7, 30'099, campaign("a")).kind, Kind::kRefused);
   EXPECT_EQ(table.apply(8, 30'100, campaign("a")).kind, Kind::kGranted);
@@ -134,11 +134,11 @@
   LeaseTable table;
   table.start_grace_period(100);
   table.tick(1, 200);
-  table.leader_elected(40'000);
+  table.on_leader_elected(40'000);
   table.tick(2, 69'999);
   EXPECT_EQ(table.apply(3, 69'999, campaign("a")).kind, Kind::kRefused);
   EXPECT_EQ(table.apply(4, 70'000, campaign("a")).kind, Kind::kGranted);
-  table.leader_elected(80'000);  // an ended grace period does not restart
+  table.on_leader_elected(80'000);  // an ended grace period does not restart
   EXPECT_EQ(table.apply(5, 80'000, {Call::kCampaign, "other", "a", 1000, 0, "", ""}).kind, Kind::kGranted);
 }
 
@@ -152,7 +152,7 @@
   EXPECT_EQ(table.apply(1, 0, campaign("a", 199)).kind, Kind::kRefused);
   EXPECT_EQ(table.apply(2, 0, campaign("a", 30'001)).kind, Kind::kRefused);
   EXPECT_EQ(table.apply(3, 0, campaign("")).kind, Kind::kRefused);
-  EXPECT_TRUE(table.all().empty());
+  EXPECT_TRUE(table.by_name().empty());
   table.apply(4, 0, campaign("a"));
   table.apply(5, 0, campaign("b"));
   EXPECT_EQ(table.apply(6, 0, campaign("c")).retry_after_ms, 1000);
@@ -165,10 +165,10 @@
   EXPECT_EQ(campaign_for(10, "n"), Kind::kRefused);
   table.apply(11, 0, {Call::kRelease, "m", "a", 0, 9, "", ""});
   EXPECT_EQ(campaign_for(12, "n"), Kind::kGranted);  // replaces the lease that nobody holds
-  EXPECT_FALSE(table.all().contains("m"));
+  EXPECT_FALSE(table.by_name().contains("m"));
   for (Token revision = 20; revision < 30; ++revision)
     table.apply(revision, static_cast<Millis>(revision) * 1000, campaign("a"));
-  EXPECT_EQ(table.all().at("l").past_holders.size(), 2U);
+  EXPECT_EQ(table.by_name().at("l").past_holders.size(), 2U);
 }
 
 // A call that is delayed in transit must not shorten a grant that was promised.
@@ -176,12 +176,12 @@
   LeaseTable table;
   table.apply(1, 0, campaign("a", 5000));
   table.apply(2, 0, campaign("a", 300));
-  EXPECT_EQ(table.all().at("l").until_ms, 5000);
+  EXPECT_EQ(table.by_name().at("l").until_ms, 5000);
   table.tick(3, 4999);
-  EXPECT_TRUE(table.holds("l", 1));
+  EXPECT_TRUE(table.is_current_token("l", 1));
   table.apply(4, 4999, make_call(Call::kRenew, "a", 1));
   table.tick(5, 9998);
-  EXPECT_TRUE(table.holds("l", 1));
+  EXPECT_TRUE(table.is_current_token("l", 1));
 }
 
 // Invariants under random calls: a caller whose grant or renewal was confirmed holds the lease for the whole
@@ -206,11 +206,12 @@
       const Token token =
           previous != confirmed.end() && random.chance(0.9) ? previous->second.first : random.below(revision);
       LeaseCommand call{static_cast<Call>(random.below(5)), name, holder, 300, token, "", "r"};
-      if (call.kind == Call::kHandOver && random.chance(0.5)) call.to = "h" + std::to_string(random.below(5));
+      if (call.kind == Call::kHandOver && random.chance(0.5))
+        call.handover_target = "h" + std::to_string(random.below(5));
       const size_t event = random.below(20);
       if (event == 0) {
-        table.leader_elected(now);
-        copy.leader_elected(now);
+        table.on_leader_elected(now);
+        copy.on_leader_elected(now);
       } else if (event < 4) {
         table.tick(revision, now);
         copy.tick(revision, now);
@@ -226,10 +227,10 @@
       }
       for (const auto& [key, grant] : confirmed) {
         if (now >= grant.second) continue;
-        ASSERT_TRUE(table.holds(key.substr(0, 2), grant.first))
+        ASSERT_TRUE(table.is_current_token(key.substr(0, 2), grant.first))
             << "seed " << seed << " at " << revision << " " << key;
       }
-      for (const auto& [key, lease] : table.all()) {
+      for (const auto& [key, lease] : table.by_name()) {
         ASSERT_GE(lease.token, highest[key]) << "seed " << seed;
         highest[key] = lease.token;
         ASSERT_FALSE(lease.holder.empty() && !lease.queue.empty()) << "seed " << seed;
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -50,23 +50,23 @@
   State s;
   s.apply(1, write({{"a", entry("a"), {}}}));
   EXPECT_EQ(s.apply(2, write({{"a", entry("a"), {}}})).revision, 1U);
-  EXPECT_EQ(s.since(1)->size(), 0U);
+  EXPECT_EQ(s.changes_after(1)->size(), 0U);
 }
 
 TEST(State, ReturnsNewestChangePerIdUntilCompacted) {
-  Limits limits;
-  limits.kept_changes = 4;
+  StateLimits limits;
+  limits.max_changes = 4;
   State s(limits);
   for (Revision i = 1; i <= 4; ++i) s.apply(i, write({{"a", entry("a", static_cast<int>(i)), {}}}));
-  const auto changes = s.since(1);
+  const auto changes = s.changes_after(1);
   ASSERT_TRUE(changes);
   ASSERT_EQ(changes->size(), 1U);
   EXPECT_EQ(changes->front().entry->group, 4);
   s.apply(5, write({{"b", entry("b"), {}}, {"c", entry("c"), {}}}));
-  EXPECT_EQ(s.compacted(), 2U);
-  EXPECT_FALSE(s.since(1));
-  EXPECT_TRUE(s.since(2));
-  EXPECT_FALSE(s.since(6));  // newer than this list
+  EXPECT_EQ(s.compacted_revision(), 2U);
+  EXPECT_FALSE(s.changes_after(1));
+  EXPECT_TRUE(s.changes_after(2));
+  EXPECT_FALSE(s.changes_after(6));  // newer than this list
 }
 
 TEST(State, ExpiresRegistrationAndRestoresItWhenRenewed) {
@@ -135,8 +135,8 @@
   s.apply(4, {Command::Kind::kRestore, 0, "", {{"b", entry("b", 1, 500), {}}}, "list-2", 900});
   EXPECT_EQ(s.identity(), "list-2");
   EXPECT_EQ(s.revision(), 1004U);
-  EXPECT_FALSE(s.since(1002));  // watches of the old list must fetch the whole list
-  EXPECT_TRUE(s.since(1004));
+  EXPECT_FALSE(s.changes_after(1002));  // watches of the old list must fetch the whole list
+  EXPECT_TRUE(s.changes_after(1004));
   EXPECT_FALSE(s.entries().contains("a"));
   s.apply(5, tick(501));
   EXPECT_EQ(s.entries().at("b").state, "leaving");
@@ -155,7 +155,7 @@
   return {Command::Kind::kLease, now, "", {}, "", 0, {kind, "l", holder, 5000, token, "", ""}};
 }
 Command with_fence(Command command, Token token) {
-  command.fence = "l";
+  command.fence_lease = "l";
   command.fence_token = token;
   return command;
 }
@@ -169,7 +169,7 @@
   EXPECT_EQ(s.apply(4, lease_command(kCampaign, "a", 30'000)).lease->token, 1004U);
   s.apply(5, lease_command(kCampaign, "b", 33'000));
   s.apply(6, tick(35'000));
-  EXPECT_TRUE(s.leases().holds("l", 1006));
+  EXPECT_TRUE(s.leases().is_current_token("l", 1006));
 }
 
 TEST(State, FencesWritesOfEarlierGrants) {
@@ -200,12 +200,12 @@
   EXPECT_EQ(s.leases().limits().max_ttl_ms, 6000);
   const Token token = s.apply(3, lease_command(kCampaign, "a", 30'000)).lease->token;
   s.apply(4, {Command::Kind::kRestore, 31'000, "", {}, "list-2", 5000});
-  EXPECT_TRUE(s.leases().holds("l", token));
+  EXPECT_TRUE(s.leases().is_current_token("l", token));
   s.apply(5, {Command::Kind::kLeaderElected, 34'000, "", {}, "", 0});
   s.apply(6, tick(38'999));
-  EXPECT_TRUE(State::restore(s.snapshot()).leases().holds("l", token));
+  EXPECT_TRUE(State::restore(s.snapshot()).leases().is_current_token("l", token));
   s.apply(7, tick(39'000));
-  EXPECT_FALSE(s.leases().holds("l", token));
+  EXPECT_FALSE(s.leases().is_current_token("l", token));
   EXPECT_EQ(s.apply(8, lease_command(kCampaign, "b", 39'000)).lease->token, 5008U);
 }
 
@@ -219,7 +219,7 @@
   const Command command =
       decode(bytes({0, 5, "r", {{"a", old_entry, nullptr}}, "", 0}) + std::string(3, '\0'));
   EXPECT_EQ(command.mutations.at(0).entry->revision, 7U);
-  EXPECT_EQ(command.fence, "");
+  EXPECT_EQ(command.fence_lease, "");
   const auto none = nlohmann::json::array();
   const auto limits = nlohmann::json::array({10, 10, 1000, 1000, 0.3, 2});
   const State s = State::restore(bytes({1,
@@ -239,14 +239,14 @@
                                         none}));
   EXPECT_EQ(s.revision(), 1007U);
   EXPECT_EQ(s.entries().at("a").group, 1);
-  EXPECT_TRUE(s.leases().all().empty());
+  EXPECT_TRUE(s.leases().by_name().empty());
   EXPECT_EQ(State::restore(s.snapshot()).hash(), s.hash());
 }
 
 Command mirror(std::vector<Mutation> items, bool whole = false, Millis now = 0,
                const std::string& source = "d") {
   Command out{Command::Kind::kMirror, now, "", std::move(items), source, 9};
-  out.whole = whole;
+  out.is_complete = whole;
   return out;
 }
 Entry leaving(const std::string& id) {
@@ -332,19 +332,19 @@
 
 TEST(State, ReportsAgeOfItsSources) {
   State s;
-  EXPECT_EQ(s.source_ms(), -1);
+  EXPECT_EQ(s.max_source_age_ms(), -1);
   s.apply(1, mirror({{"a", entry("a"), {}}}, true, 1000));
   s.apply(2, tick(5000));
-  EXPECT_EQ(s.source_ms(), 4000);
+  EXPECT_EQ(s.max_source_age_ms(), 4000);
   const ApplyResult confirmed = s.apply(3, mirror({}, false, 6000));
   EXPECT_EQ(confirmed.revision, 1U);
   s.apply(4, tick(6500));
-  EXPECT_EQ(State::restore(s.snapshot()).source_ms(), 500);
+  EXPECT_EQ(State::restore(s.snapshot()).max_source_age_ms(), 500);
   s.apply(5, tick(700'000));
   EXPECT_EQ(s.sources().size(), 1U);
   s.apply(6, mirror({}, true, 700'000));
   s.apply(7, tick(1'400'000));
-  EXPECT_EQ(s.source_ms(), -1);  // sources expire
+  EXPECT_EQ(s.max_source_age_ms(), -1);  // sources expire
 }
 
 // Members that apply the same log must agree to the byte, including one that started from a snapshot in the
@@ -352,9 +352,9 @@
 TEST(State, IsIdenticalOnEveryMember) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     net::Random random(seed);
-    Limits limits;
-    limits.kept_changes = 30;
-    limits.kept_requests = 20;
+    StateLimits limits;
+    limits.max_changes = 30;
+    limits.max_request_results = 20;
     State a(limits);
     std::optional<State> b;
     Millis now = 0;
@@ -397,8 +397,8 @@
 TEST(State, ChangesReproduceTheListForAWatcher) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     net::Random random(seed);
-    Limits limits;
-    limits.kept_changes = 25;
+    StateLimits limits;
+    limits.max_changes = 25;
     State s(limits);
     std::map<std::string, Entry> watched;
     Revision watched_revision = 0;
@@ -413,7 +413,7 @@
       }
       s.apply(index, write(items));
       if (random.chance(0.8)) continue;
-      if (const auto changes = s.since(watched_revision)) {
+      if (const auto changes = s.changes_after(watched_revision)) {
         for (const Change& change : *changes) {
           if (change.entry) watched[change.id] = *change.entry;
           if (!change.entry) watched.erase(change.id);
--- a/tests/registry/stored_data_test.cpp
+++ b/tests/registry/stored_data_test.cpp
@@ -32,10 +32,10 @@
 }
 
 // The limits with which the stored data was written.
-Limits stored_limits() {
-  Limits limits;
-  limits.kept_changes = 20;
-  limits.kept_requests = 15;
+StateLimits stored_limits() {
+  StateLimits limits;
+  limits.max_changes = 20;
+  limits.max_request_results = 15;
   return limits;
 }
 
--- a/tests/relay/control_crossing_test.cpp
+++ b/tests/relay/control_crossing_test.cpp
@@ -41,7 +41,7 @@
   // is freed some turns of the event loop later.
   std::vector<Socket> fill() {
     std::vector<Socket> out;
-    while (out.size() + 1 < relay::Control::kMostCallers) out.push_back(connect());
+    while (out.size() + 1 < relay::ControlServer::kMaxConnections) out.push_back(connect());
     call();
     out.push_back(connect());
     for (int i = 0; i < 10; ++i) {
@@ -60,10 +60,10 @@
   std::atomic<int> calls_ = 0;
   boost::asio::io_context io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_{io_.get_executor()};
-  relay::Control control_{io_, {boost::asio::ip::address_v4::loopback(), 0}, [this](const auto&) {
-                            ++calls_;
-                            return relay::OperatorReply{200, "yes\n"};
-                          }};
+  relay::ControlServer control_{io_, {boost::asio::ip::address_v4::loopback(), 0}, [this](const auto&) {
+                                  ++calls_;
+                                  return relay::OperatorResponse{200, "yes\n"};
+                                }};
   std::thread thread_{[this] { io_.run(); }};
 };
 
@@ -93,7 +93,7 @@
 TEST_F(ControlTest, AnswersAllPendingCallsBeyondItsPlaces) {
   std::promise<void> resume = block_event_loop();
   std::vector<Socket> callers;
-  for (size_t i = 0; i < 3 * relay::Control::kMostCallers; ++i) {
+  for (size_t i = 0; i < 3 * relay::ControlServer::kMaxConnections; ++i) {
     callers.push_back(connect());
     callers.back().send(kCall);
   }
@@ -107,7 +107,7 @@
 // Callers that send only half of a call lose their places to a complete call, the oldest first.
 TEST_F(ControlTest, ClosesOldestIncompleteCallToMakeRoom) {
   std::vector<Socket> incomplete;
-  for (size_t i = 0; i < 2 * relay::Control::kMostCallers; ++i) {
+  for (size_t i = 0; i < 2 * relay::ControlServer::kMaxConnections; ++i) {
     incomplete.push_back(connect());
     incomplete.back().send(kCall.substr(0, kCall.size() / 2));
   }
--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -28,8 +28,8 @@
   // Starts a call. With `first_ends`, the first of several messages has this shorter timeout of its own.
   void begin(const std::string& body = "body", Time timeout = 60'000'000, int messages = 1,
              Time first_ends = 0) {
-    std::vector<Call> calls(messages);
-    for (Call& call : calls) {
+    std::vector<AttemptRequest> calls(messages);
+    for (AttemptRequest& call : calls) {
       call.id = ++last_id_;
       call.endpoint = {1, 0};
       call.address = {boost::asio::ip::address_v4::loopback(), listener_.port()};
@@ -40,7 +40,7 @@
     }
     if (first_ends > 0) {
       calls.front().timeout = first_ends;
-      calls.front().last = true;
+      calls.front().is_last_attempt = true;
     }
     ends_.clear();
     messages_ = calls.size();
@@ -118,7 +118,7 @@
   Upstream upstream_{io_,
                      {1'000'000, 10'000'000, 16},
                      {},
-                     [this](const Call&) {
+                     [this](const AttemptRequest&) {
                        before_start_();
                        return true;
                      },
@@ -189,7 +189,7 @@
   const auto cancel_after = [&](const std::string& bytes, bool ends) {
     begin();
     std::thread host([&] { next(); });
-    while (upstream_.written() < last_id_) io_.run_one();
+    while (upstream_.messages_written() < last_id_) io_.run_one();
     host.join();
     connection_.send(bytes);
     await_arrival(connection_);
@@ -214,7 +214,7 @@
   for (const size_t longer : {0, 6000}) {
     begin("body", 60'000'000, 2, 100'000);
     std::thread host([&] { next(); });
-    while (upstream_.written() < last_id_) io_.run_one();
+    while (upstream_.messages_written() < last_id_) io_.run_one();
     host.join();
     boost::asio::steady_timer before(io_, std::chrono::milliseconds(10));
     before.async_wait([&](const auto&) {
@@ -277,7 +277,7 @@
   begin("body", 50'000, 2, 100'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
   EXPECT_EQ(end().outcome, policy::Outcome::kNotStarted);
-  EXPECT_EQ(upstream_.written(), 0u);
+  EXPECT_EQ(upstream_.messages_written(), 0u);
   begin("body", 60'000'000, 2, 50'000);  // one message times out: the other is sent alone
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
   end_beside([&] {
@@ -315,7 +315,7 @@
   for (const bool window : {false, true}) {
     if (window) start_by_ = steady_now() + 200'000;
     begin(body);
-    while (upstream_.written() < last_id_) io_.run_one();
+    while (upstream_.messages_written() < last_id_) io_.run_one();
     if (!window) upstream_.cancel(last_id_, 0);
     EXPECT_EQ(end().outcome, window ? policy::Outcome::kTimeout : policy::Outcome::kCancelled);
     connection_ = listener_.accept();
@@ -327,7 +327,7 @@
 TEST_F(CrossingTest, AnswerReceivedDuringProcessStallCounts) {
   leave_idle_connection();
   begin("body", 100'000);
-  while (upstream_.written() < last_id_) io_.run_one();
+  while (upstream_.messages_written() < last_id_) io_.run_one();
   ASSERT_EQ(testing::read_request(connection_).value_or(Request{}).body, "body");
   connection_.send(kOk);
   await_arrival(connection_);
--- a/tests/relay/customers_test.cpp
+++ b/tests/relay/customers_test.cpp
@@ -52,7 +52,7 @@
   put("a2", "00008a60678a1f4b");
   put("b1", "000e53ecdb549f89");
   EXPECT_EQ(c.host.next().headers.at("x-call-id"), "a1");
-  Socket second_connection = c.host.beside();
+  Socket second_connection = c.host.accept_another();
   const auto second_call = read_request(second_connection);
   ASSERT_TRUE(second_call);
   EXPECT_EQ(second_call->headers.at("x-call-id"), "b1");  // although a2 was accepted before b1
@@ -60,7 +60,7 @@
   c.host.drop();
   program.start();
   // The calls come in either order, as each waits for a random delay.
-  Socket resent_calls[] = {c.host.beside(), c.host.beside()};
+  Socket resent_calls[] = {c.host.accept_another(), c.host.accept_another()};
   std::set<std::string> ids;
   for (Socket& each : resent_calls) {
     const auto call = read_request(each);
--- a/tests/relay/discovery_test.cpp
+++ b/tests/relay/discovery_test.cpp
@@ -58,7 +58,7 @@
   std::priority_queue<ScheduledCall, std::vector<ScheduledCall>, std::greater<>> calls;
   for (int i = 0; i < fleet.callers; ++i) {
     callers.emplace_back(fleet.callers, seed * 1000 + static_cast<uint64_t>(i));
-    calls.push({static_cast<int>(callers.back().next(max_delay).count()), i});
+    calls.push({static_cast<int>(callers.back().next_delay(max_delay).count()), i});
   }
   Outcome out;
   double busy_until = back_at;  // time until which discovery is busy
@@ -82,7 +82,8 @@
       out.down_calls += 1000.0 / back_at;
     }
     const int ended = call.at + fails_after;
-    calls.push({ended + static_cast<int>(callers[call.caller].again(milliseconds(fails_after)).count()),
+    calls.push({ended + static_cast<int>(
+                            callers[call.caller].delay_after_failure(milliseconds(fails_after)).count()),
                 call.caller});
   }
   if (!calls.empty()) out.max_age = 60'000;
@@ -147,15 +148,17 @@
   void start() {
     start([this] { return ++calls_; });
   }
-  void start(Watch::Revision revision) {
-    watch_ = std::make_unique<Watch>(
+  void start(DiscoveryWatch::RevisionSource revision) {
+    watch_ = std::make_unique<DiscoveryWatch>(
         io_, net::parse_address("127.0.0.1:" + std::to_string(port_)), ListNames{}, std::move(revision),
-        [this](const HostList& list) { revision_ = list.revision; }, [this] { ++current_; },
-        Watch::Pace{1000, false, 43});
+        [this](const EndpointList& list) { revision_ = list.revision; }, [this] { ++current_; },
+        DiscoveryWatch::CallPacing{1000, false, 43});
     loop_thread_ = std::thread([this] { io_.run(); });
   }
   void move(uint16_t port) {
-    boost::asio::post(io_, [this, port] { watch_->move({boost::asio::ip::address_v4::loopback(), port}); });
+    boost::asio::post(io_, [this, port] {
+      watch_->set_address({boost::asio::ip::address_v4::loopback(), port});
+    });
   }
 
   // Binds an address that refuses connections until listen().
@@ -207,7 +210,7 @@
   std::atomic<int64_t> calls_ = 0;  // calls that the watch has begun
   std::atomic<int64_t> revision_ = 0;
   std::atomic<int64_t> current_ = 0;  // how often everything was reported as read
-  std::unique_ptr<Watch> watch_;
+  std::unique_ptr<DiscoveryWatch> watch_;
   std::thread loop_thread_;
 };
 
@@ -289,15 +292,15 @@
   const auto address = [&](size_t place) {
     return net::tcp::endpoint(boost::asio::ip::address_v4::loopback(), listeners[place].port());
   };
-  std::vector<std::unique_ptr<Watch>> watches;
+  std::vector<std::unique_ptr<DiscoveryWatch>> watches;
   for (int i = 0; i < kWatches; ++i) {
-    watches.push_back(std::make_unique<Watch>(
-        io, address(0), ListNames{}, [i] { return i; }, [](const HostList&) {}, [] {},
-        Watch::Pace{1000, false, static_cast<uint64_t>(i)}));
+    watches.push_back(std::make_unique<DiscoveryWatch>(
+        io, address(0), ListNames{}, [i] { return i; }, [](const EndpointList&) {}, [] {},
+        DiscoveryWatch::CallPacing{1000, false, static_cast<uint64_t>(i)}));
   }
   const auto first = std::chrono::steady_clock::now();
   for (size_t move = 1; move < listeners.size(); ++move) {
-    for (const auto& watch : watches) watch->move(address(move));
+    for (const auto& watch : watches) watch->set_address(address(move));
     io.run_until(first + milliseconds(move + 1 < listeners.size() ? 900 * move : 3600));
   }
   std::set<std::string> called;
@@ -342,9 +345,9 @@
 TEST(DiscoveryWatch, MakesNoCallIfClosedAsDelayEnds) {
   EventLoopTurn turn;
   int calls = 0;
-  Watch watch(
+  DiscoveryWatch watch(
       turn.io, net::parse_address("127.0.0.1:9"), ListNames{}, [&] { return ++calls; }, [](const auto&) {},
-      [] {}, Watch::Pace{1, false, 43});  // pauses 50 ms at most
+      [] {}, DiscoveryWatch::CallPacing{1, false, 43});  // pauses 50 ms at most
   turn.run(milliseconds(60), [&] { watch.close(); });
   EXPECT_EQ(calls, 0);
   EXPECT_TRUE(turn.io.stopped());  // nothing is left to do
@@ -356,7 +359,7 @@
   settings.members = {net::parse_address("127.0.0.1:9")};
   registry::ListFollower::Listener listener;
   listener.on_list = [](const nlohmann::json&) {};
-  listener.current = [] {};
+  listener.on_current = [] {};
   registry::ListFollower follower(turn.io, settings, nullptr, listener);
   turn.run(milliseconds(510), [&] { follower.close(); });  // its tick is due as well
   EXPECT_TRUE(turn.io.stopped());
@@ -367,9 +370,9 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     boost::asio::io_context io;
     int calls = 0;
-    const Watch watch(
+    const DiscoveryWatch watch(
         io, net::parse_address("127.0.0.1:9"), ListNames{}, [&] { return ++calls; }, [](const auto&) {},
-        [] {}, Watch::Pace{300, true, seed});
+        [] {}, DiscoveryWatch::CallPacing{300, true, seed});
     io.poll();
     EXPECT_EQ(calls, 1) << seed;
   }
@@ -380,11 +383,11 @@
   listen();
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
-  settings.callers = 1000;
+  settings.follower_count = 1000;
   settings.seed = 43;
   registry::ListFollower::Listener listener;
   listener.on_list = [](const nlohmann::json&) {};
-  listener.current = [] {};
+  listener.on_current = [] {};
   registry::ListFollower follower(io_, settings, nullptr, listener);
   loop_thread_ = std::thread([this] { io_.run(); });
   Socket failed = call(socket_);
@@ -400,11 +403,11 @@
   listen();
   registry::ListFollowerSettings settings;
   settings.members = {net::parse_address("127.0.0.1:" + std::to_string(port_))};
-  settings.callers = 1000;
+  settings.follower_count = 1000;
   settings.seed = 43;
   registry::ListFollower::Listener listener;
   listener.on_list = [this](const nlohmann::json& list) { revision_ = list.at("revision"); };
-  listener.current = [this] { ++current_; };
+  listener.on_current = [this] { ++current_; };
   registry::ListFollower follower(io_, settings, nullptr, listener);
   loop_thread_ = std::thread([this] { io_.run(); });
   const Socket first = call(socket_);
--- a/tests/relay/handover_frames_test.cpp
+++ b/tests/relay/handover_frames_test.cpp
@@ -28,11 +28,11 @@
     successor_.emplace(side_.config);
     predecessor_.emplace(successor_->state());
     started_ = std::async(std::launch::async, [this, descriptors] { successor_->start(descriptors); });
-    predecessor_->await_asked();
+    predecessor_->await_request();
     ASSERT_TRUE(predecessor_->handover.send_folder_lock());
   }
   void finish_start() {
-    predecessor_->give_listener();
+    predecessor_->send_listener();
     started_.get();
   }
   // The relay reports the number of rejected frames and serves an inherited client.
@@ -43,9 +43,9 @@
     EXPECT_NE(successor_->operate("GET", "/v1/metrics").second.find(figure), std::string::npos);
   }
 
-  Side side_;
+  HandoverFixture side_;
   std::optional<Program> successor_;
-  std::optional<Before> predecessor_;
+  std::optional<TestPredecessor> predecessor_;
   std::future<void> started_;
 };
 
@@ -178,11 +178,11 @@
   side_.start();
   EXPECT_EQ(side_.put("m-1", facts("unsafe")), "+OK");
   EXPECT_EQ(id_of(side_.host.next()), "m-1");
-  Asker next(side_.program->state());
+  TestSuccessor next(side_.program->state());
   ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);
   for (int i = 0; i < 200; ++i) {
     const char kind = kinds[random() % kinds.size()];
-    next.tell(static_cast<HandoverFrame::Kind>(kind), std::string(random() % 50, 'x'));
+    next.send(static_cast<HandoverFrame::Kind>(kind), std::string(random() % 50, 'x'));
   }
   side_.host.answer("200");
   HandoverFrame frame = next.next();
@@ -196,7 +196,7 @@
   boost::asio::io_context io;
   relay::Clients clients(
       io, {boost::asio::ip::address_v4::loopback(), 0}, 16,
-      [](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) { answer("+OK"); });
+      [](const relay::SubmittedMessage&, const relay::Clients::AnswerHandler& answer) { answer("+OK"); });
   EXPECT_FALSE(clients.has_room_for_inherited(false));
   Socket client = Socket::connect(clients.address().port());
   ASSERT_TRUE(client.send("*1\r\n$4\r\nPING\r\n"));
@@ -211,7 +211,7 @@
   EXPECT_EQ(client.since, 1);
   EXPECT_EQ(client.received_at, 2);
   EXPECT_EQ(client.command_since, 3);
-  EXPECT_TRUE(client.has_spoken);
+  EXPECT_TRUE(client.has_sent_command);
   EXPECT_EQ(client.unread, "*1\r\n$4");
   EXPECT_THROW(ClientFrame::parse("x"), relay::HandoverFrameInvalid);
 }
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -27,15 +27,15 @@
 
 // The successor waits for a slow predecessor, so that its clients and calls are not lost.
 TEST(Handover, WaitsForSlowPredecessor) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
   ASSERT_TRUE(before.handover.send_folder_lock());
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
-  before.give_listener();
+  before.send_listener();
   Socket client = before.give_client();
   started.get();
   EXPECT_EQ(next.port(), before.listener.port());
@@ -44,7 +44,7 @@
 
 // A fast predecessor waits for a slow successor: frames that the successor has not read yet are not lost.
 TEST(Handover, WaitsForSlowSuccessor) {
-  Side s;
+  HandoverFixture s;
   s.start();
   std::vector<Socket> clients;
   for (int i = 0; i < 24; ++i) {  // more than the socket between the two buffers
@@ -53,7 +53,7 @@
     const std::string begun = "*5\r\n$60000\r\n" + std::string(50'000, 'x');
     ASSERT_TRUE(clients.back().send(begun));
   }
-  Asker next(s.program->state());
+  TestSuccessor next(s.program->state());
   ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);
   std::this_thread::sleep_for(std::chrono::milliseconds(1300));
   ASSERT_EQ(next.next().kind, HandoverFrame::kListener);
@@ -62,17 +62,17 @@
 }
 
 TEST(Handover, SurvivesSignalsWhileSuccessorWaits) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
   for (int i = 0; i < 20; ++i) {  // at least one arrives while the successor waits for the next frame
     next.signal(SIGHUP);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  before.give_listener();
+  before.send_listener();
   Socket client = before.give_client();
   started.get();
   EXPECT_EQ(next.port(), before.listener.port());
@@ -82,14 +82,14 @@
 // SIGTERM comes before the successor has started to serve: requests on handed-over connections are still
 // answered and their messages still sent.
 TEST(Handover, ServesHandedOverClientsWhenStoppedBeforeListening) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
   next.signal(SIGTERM);
-  before.give_listener();
+  before.send_listener();
   Socket client = before.give_client();
   client.send(put_bytes("m-1", facts("safe")));
   started.get();
@@ -102,7 +102,7 @@
 
 TEST(Handover, ServesWhenPredecessorDiesHalfway) {
   for (const bool call_handed_over : {false, true}) {
-    Side s;
+    HandoverFixture s;
     Program next(s.config);
     {
       Journal journal(next.state(), kDisk);
@@ -111,11 +111,11 @@
       ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
       ASSERT_TRUE(journal.record_accepted({"m-held", "unsafe", "", 7, 0, "body", ""}, due));
     }
-    std::optional<Before> before(next.state());
+    std::optional<TestPredecessor> before(next.state());
     auto started = begin(next);
-    before->await_asked();
+    before->await_request();
     ASSERT_TRUE(before->handover.send_folder_lock());
-    if (call_handed_over) before->give_call("m-out", 0);
+    if (call_handed_over) before->send_call("m-out", 0);
     before.reset();
     started.get();
     EXPECT_EQ(s.discovery.notice(), failed("m-out"));
@@ -130,12 +130,12 @@
 // finds all messages on disk.
 TEST(Handover, KeepsMessagesOnDiskWhenSuccessorDies) {
   for (const bool read : {false, true}) {
-    Side s;
+    HandoverFixture s;
     s.start();
     EXPECT_EQ(s.put("m-held", facts("safe", 99)), "+OK");
     EXPECT_EQ(s.put("m-out", facts("unsafe")), "+OK");
     EXPECT_EQ(id_of(s.host.next()), "m-out");
-    Asker next(s.program->state());
+    TestSuccessor next(s.program->state());
     ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);  // the predecessor may no longer use the folder
     if (read) {
       ASSERT_EQ(next.next().kind, HandoverFrame::kCall);
@@ -155,15 +155,15 @@
 
 // Otherwise the next process would send a message while a call that carries it is still open.
 TEST(Handover, CancelsOpenCallsWhenSuccessorDies) {
-  Side s;
+  HandoverFixture s;
   s.start();
   EXPECT_EQ(s.put("m-out", facts("safe")), "+OK");
-  const Socket first = s.host.beside();
-  Asker next(s.program->state());
+  const Socket first = s.host.accept_another();
+  TestSuccessor next(s.program->state());
   ASSERT_EQ(next.next().kind, HandoverFrame::kFolder);
   next.leave();
   s.next.emplace(s.config);
-  s.next->succeed(*s.program);
+  s.next->share_state_of(*s.program);
   s.next->start();
   EXPECT_EQ(id_of(s.host.next()), "m-out");
   std::string left(10'000, ' ');  // receives the first call's bytes, then its end
@@ -176,26 +176,26 @@
 // A call that the predecessor has not started may wait for a connection or for its turn. The predecessor
 // never starts it and may die, so the successor sends the message at once.
 TEST(Handover, SendsAtOnceMessagesThatPredecessorHadNotStarted) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
   {
     Journal journal(next.state(), kDisk);
     const auto due = relay::wall_now() + 60'000'000;
     ASSERT_TRUE(journal.record_accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
   }
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-1", 0);
-  before.give_listener();
+  before.send_call("m-1", 0);
+  before.send_listener();
   started.get();
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   s.host.answer("200");
 }
 
 TEST(Handover, AnswersRequestsThatArriveWhileHandoverIsRequested) {
-  Side s;
+  HandoverFixture s;
   s.start();
   Socket idle_client = s.program->client();
   EXPECT_EQ(ping(idle_client), "+PONG");
@@ -204,7 +204,7 @@
   Socket queued_client = s.program->client();  // in the listener's queue
   queued_client.send(put_bytes("m-2", facts("safe", 99)));
   s.next.emplace(s.config);
-  s.next->succeed(*s.program);
+  s.next->share_state_of(*s.program);
   auto started = begin(*s.next);
   s.program->signal(SIGCONT);
   started.get();
@@ -216,12 +216,12 @@
 }
 
 TEST(Handover, PredecessorExitsAfterSigtermWhenCallIsNeverAnswered) {
-  Side s;
+  HandoverFixture s;
   s.start();
   EXPECT_EQ(s.put("m-1", facts("unsafe")), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   s.next.emplace(s.config);
-  s.next->succeed(*s.program);
+  s.next->share_state_of(*s.program);
   s.next->start();
   s.program->signal(SIGTERM);
   EXPECT_EQ(s.program->wait(), 0);
@@ -231,20 +231,20 @@
 // The predecessor hands over a client that it was still answering, after the process in the middle has
 // handed over everything itself.
 TEST(Handover, ForwardsClientThatArrivesLate) {
-  Side s;
+  HandoverFixture s;
   Program middle(s.config);
-  Before before(middle.state());
+  TestPredecessor before(middle.state());
   auto started = begin(middle);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-none", 0);  // of a message that no longer exists
-  before.give_listener();
+  before.send_call("m-none", 0);  // of a message that no longer exists
+  before.send_listener();
   started.get();
   Socket held = middle.client();
   held.send(put_bytes("m-1", facts("unsafe")));
   EXPECT_EQ(held.line(), "+OK");
   EXPECT_EQ(id_of(s.host.next()), "m-1");  // the open call keeps the process in the middle running
-  Asker last(middle.state());
+  TestSuccessor last(middle.state());
   ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
   ASSERT_EQ(last.next().kind, HandoverFrame::kCall);
   ASSERT_EQ(last.next().kind, HandoverFrame::kListener);
@@ -259,7 +259,7 @@
 
 // The wait of a rejected call applies to the destination, also when the endpoint that asked for it has left.
 TEST(Handover, HonorsRetryAfterOfCallWhoseEndpointIsGone) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
   {
     Journal journal(next.state(), kDisk);
@@ -267,15 +267,15 @@
     ASSERT_TRUE(journal.record_accepted({"m-1", "unsafe", "", 7, 0, "body", ""}, due));
     ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 0, "a"));
   }
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-1", 0, "s-gone");
-  before.give_listener();
+  before.send_call("m-1", 0, "s-gone");
+  before.send_listener();
   started.get();
   const auto rejected_at = std::chrono::steady_clock::now();
-  before.give_end("m-1", policy::Outcome::kRejected, 1'500'000);
+  before.send_end("m-1", policy::Outcome::kRejected, 1'500'000);
   EXPECT_EQ(id_of(s.host.next()), "m-1");
   EXPECT_GE(std::chrono::steady_clock::now() - rejected_at, std::chrono::milliseconds(1500));
   s.host.answer("200");
@@ -283,7 +283,7 @@
 
 // The ordering key waits for the call, and the message is sent before those that were accepted after it.
 TEST(Handover, KeepsOrderOfKeyWhenEndpointOfCallIsGone) {
-  Side s;
+  HandoverFixture s;
   s.config["settings"]["categories"][2]["in_order"] = true;
   Program next(s.config);
   {
@@ -294,15 +294,15 @@
     }
     ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 0, "a"));
   }
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-1", 0, "s-gone");
-  before.give_listener();
+  before.send_call("m-1", 0, "s-gone");
+  before.send_listener();
   started.get();
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
-  before.give_end("m-1", policy::Outcome::kRejected);
+  before.send_end("m-1", policy::Outcome::kRejected);
   for (const std::string id : {"m-1", "m-2"}) {
     EXPECT_EQ(id_of(s.host.next()), id);
     s.host.answer("200");
@@ -311,7 +311,7 @@
 
 // A repeat stays in the zone where the message may have run.
 TEST(Handover, RemembersZoneOfCallWhoseEndpointIsGone) {
-  Side s;
+  HandoverFixture s;
   Host other;
   auto remote_member = member_json("s-2", other.address(), 7);
   remote_member["locality"] = "b";
@@ -325,21 +325,21 @@
     ASSERT_TRUE(journal.record_accepted({"m-1", "keyed", "key", 7, 0, "body", ""}, due));
     ASSERT_TRUE(journal.record_attempt("m-1", 0, relay::wall_now(), 1, "b"));
   }
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-1", 0, "s-gone");
-  before.give_listener();
+  before.send_call("m-1", 0, "s-gone");
+  before.send_listener();
   started.get();
-  before.give_end("m-1", policy::Outcome::kError);
+  before.send_end("m-1", policy::Outcome::kError);
   EXPECT_EQ(id_of(other.next()), "m-1");
   other.answer("200");
 }
 
 // The first of three processes has the call, and the last one cancels it.
 TEST(Handover, ForwardsCancel) {
-  Side s;
+  HandoverFixture s;
   Program middle(s.config);
   {
     Journal journal(middle.state(), kDisk);
@@ -347,17 +347,17 @@
     ASSERT_TRUE(journal.record_accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
     ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
   }
-  Before before(middle.state());
+  TestPredecessor before(middle.state());
   auto started = begin(middle);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-out", 0);
-  before.give_listener();
+  before.send_call("m-out", 0);
+  before.send_listener();
   started.get();
-  Asker last(middle.state());
+  TestSuccessor last(middle.state());
   for (const auto kind : {HandoverFrame::kFolder, HandoverFrame::kCall, HandoverFrame::kListener})
     ASSERT_EQ(last.next().kind, kind);
-  last.tell(HandoverFrame::kCancel, "m-out");
+  last.send(HandoverFrame::kCancel, "m-out");
   std::string received;
   before.handover.listen_to_successor([&](std::optional<HandoverFrame> frame) {
     received = frame ? static_cast<char>(frame->kind) + frame->text : "gone";
@@ -368,13 +368,13 @@
 }
 
 TEST(Handover, ServesHandedOverClientAfterListenerIsClosed) {
-  Side s;
+  HandoverFixture s;
   Program next(s.config);
-  Before before(next.state());
+  TestPredecessor before(next.state());
   auto started = begin(next);
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_listener();
+  before.send_listener();
   started.get();
   {
     Socket client = next.client();
@@ -400,7 +400,7 @@
 TEST(Handover, ResetsNoClientDuringRepeatedUpgrades) {
   constexpr int kUpgrades = 5;
   constexpr int kClients = 4;
-  Side s;
+  HandoverFixture s;
   std::vector<std::unique_ptr<Program>> programs;
   programs.push_back(std::make_unique<Program>(s.config));
   programs.back()->start();
@@ -421,7 +421,7 @@
   for (int i = 0; i < kUpgrades; ++i) {
     programs.push_back(std::make_unique<Program>(s.config));
     Program& before = *programs[programs.size() - 2];
-    programs.back()->succeed(before);
+    programs.back()->share_state_of(before);
     programs.back()->start();
     EXPECT_EQ(programs.back()->port(), port);
     before.signal(SIGTERM);
@@ -435,7 +435,7 @@
 
 // A successor is asked for a handover before it listens itself.
 TEST(Handover, ForwardsFramesThroughProcessThatHasNotStartedListening) {
-  Side s;
+  HandoverFixture s;
   const Folder folder;
   {
     Journal journal(folder.path, kDisk);
@@ -443,15 +443,15 @@
     ASSERT_TRUE(journal.record_accepted({"m-out", "unsafe", "", 7, 0, "body", ""}, due));
     ASSERT_TRUE(journal.record_attempt("m-out", 0, relay::wall_now(), 0));
   }
-  Before before(folder.path);
-  Inside middle;
+  TestPredecessor before(folder.path);
+  InProcessRelay middle;
   auto created = std::async(std::launch::async, [&] { middle.create(s.config, folder.path); });
-  before.await_asked();
+  before.await_request();
   ASSERT_TRUE(before.handover.send_folder_lock());
-  before.give_call("m-out", 0);
-  before.give_listener();
+  before.send_call("m-out", 0);
+  before.send_listener();
   created.get();
-  Asker last(folder.path);  // connects before the first event of the process in the middle
+  TestSuccessor last(folder.path);  // connects before the first event of the process in the middle
   const Socket late = before.give_client();
   middle.run();
   ASSERT_EQ(last.next().kind, HandoverFrame::kFolder);
@@ -474,11 +474,11 @@
 
 // Operators call before the relay listens for clients: their commands apply from its first client on.
 TEST(Handover, AppliesOperatorCommandsBeforeListening) {
-  Side s;
+  HandoverFixture s;
   s.config["control"] = "127.0.0.1:0";
   s.discovery.mute();  // the relay waits for discovery's first answer
   const Folder folder;
-  Inside relay;
+  InProcessRelay relay;
   relay.create(s.config, folder.path);
   const auto ask = [&](const std::string& call) {
     Socket out = Socket::connect(relay.relay->control_address()->port());
@@ -511,9 +511,9 @@
 
 // While records wait for disk space, the successor would read a journal that lacks them.
 TEST(Handover, IsRefusedWhileJournalHasUnwrittenRecords) {
-  Side s;
+  HandoverFixture s;
   const Folder folder;
-  Inside old;
+  InProcessRelay old;
   old.create(s.config, folder.path);
   old.run();
   const uint16_t port = old.port.get_future().get();
@@ -524,25 +524,25 @@
     const FullDisk full(100);  // less than a compacted journal would take
     client.send(put_bytes("m-2", facts("safe", 99)));
     EXPECT_EQ(client.line(), "-BUSY 500");
-    EXPECT_EQ(Asker(folder.path).next().kind, 0);  // the folder is not handed over
+    EXPECT_EQ(TestSuccessor(folder.path).next().kind, 0);  // the folder is not handed over
     client.send(put_bytes("m-3", facts("safe", 99)));
     EXPECT_EQ(client.line(), "-BUSY 500");  // and the predecessor continues
   }
-  Asker next(folder.path);
+  TestSuccessor next(folder.path);
   EXPECT_EQ(next.next().kind, HandoverFrame::kFolder);
 }
 
 // A process that is about to exit still does so after an unsuccessful handover request, and starts no call
 // that its end would cut off.
 TEST(Handover, StartsNoCallDuringShutdownAfterAbandonedRequest) {
-  Side s;
+  HandoverFixture s;
   s.config["control"] = "127.0.0.1:0";
   s.start();
   EXPECT_EQ(s.put("m-1", facts("unsafe", 99)), "+OK");
   s.program->signal(SIGTERM);
   while (s.program->operate("GET", "/v1/readyz").first == 200) continue;
   s.program->signal(SIGSTOP);
-  Asker(s.program->state()).leave();
+  TestSuccessor(s.program->state()).leave();
   s.program->signal(SIGCONT);
   std::this_thread::sleep_for(std::chrono::milliseconds(2300));
   s.discovery.tell(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
--- a/tests/relay/notices_test.cpp
+++ b/tests/relay/notices_test.cpp
@@ -21,8 +21,8 @@
   Discovery discovery;
   boost::asio::io_context io;
   std::string sent;
-  relay::Notices notices(io, net::parse_address(discovery.address()),
-                         [&](const std::string& id) { sent = id; });
+  relay::NoticeSender notices(io, net::parse_address(discovery.address()),
+                              [&](const std::string& id) { sent = id; });
   const auto post = [&](const std::string& id) {
     const auto started_at = std::chrono::steady_clock::now();
     notices.add({id, false, 0});
--- a/tests/relay/operators_test.cpp
+++ b/tests/relay/operators_test.cpp
@@ -294,7 +294,7 @@
 
   void upgrade() {
     next.emplace(config);
-    next->succeed(*program);
+    next->share_state_of(*program);
     next->start();
   }
 };
@@ -359,7 +359,7 @@
   setup.upgrade();
   const auto answered_at = std::chrono::steady_clock::now();
   setup.host.answer("429", "Retry-After: 0.6\r\n");
-  setup.host.left();  // the predecessor exits, which closes its connections
+  setup.host.await_close();  // the predecessor exits, which closes its connections
   EXPECT_EQ(setup.host.next().headers.at("x-call-id"), "a1");
   EXPECT_GE(std::chrono::steady_clock::now() - answered_at, std::chrono::milliseconds(600));
 }
@@ -382,7 +382,7 @@
   setup.host.next();
   setup.upgrade();
   Program last(setup.config);
-  last.succeed(*setup.program);
+  last.share_state_of(*setup.program);
   last.start();
   setup.host.answer("200");
   EXPECT_EQ(setup.program->wait(), 0);
@@ -400,7 +400,7 @@
   setup.start();
   setup.config["control"] = "127.0.0.1:" + std::to_string(setup.program->operators_port());
   Program second(setup.config);
-  second.succeed(*setup.program);
+  second.share_state_of(*setup.program);
   EXPECT_TRUE(second.start_refused());
   EXPECT_EQ(setup.request("GET", "/v1/readyz"), 200);
 }
@@ -410,7 +410,7 @@
   setup.start();
   setup.program->signal(SIGSTOP);
   Program second(setup.config);
-  second.succeed(*setup.program);
+  second.share_state_of(*setup.program);
   EXPECT_TRUE(second.start_refused());
   setup.program->signal(SIGCONT);
   EXPECT_EQ(setup.put("a1", put_fields("keyed")),
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -37,13 +37,13 @@
 using net::Backoff;
 
 struct Watches {
-  Watches(const Watch::Pace& pace, int count) {
+  Watches(const DiscoveryWatch::CallPacing& pace, int count) {
     for (int i = 0; i < count; ++i) {
-      Watch::Pace own = pace;
+      DiscoveryWatch::CallPacing own = pace;
       own.seed = static_cast<uint64_t>(i);
-      open.push_back(std::make_unique<Watch>(
-          io, net::parse_address(discovery.address()), ListNames{}, [] { return 1; }, [](const HostList&) {},
-          [] {}, own));
+      open.push_back(std::make_unique<DiscoveryWatch>(
+          io, net::parse_address(discovery.address()), ListNames{}, [] { return 1; },
+          [](const EndpointList&) {}, [] {}, own));
     }
   }
   bool opened(int count, std::chrono::milliseconds within) {
@@ -55,7 +55,7 @@
   }
   boost::asio::io_context io;
   testing::Discovery discovery;
-  std::vector<std::unique_ptr<Watch>> open;
+  std::vector<std::unique_ptr<DiscoveryWatch>> open;
 };
 
 // When all watches of a large fleet go silent at once, all must be reopened within 6 s. After that time a
@@ -63,7 +63,7 @@
 TEST(Watch, IsReopenedInTimeAfterSilence) {
   Watches fleet({100, false, 0}, 12);
   ASSERT_TRUE(fleet.opened(12, std::chrono::seconds(20)));
-  fleet.discovery.hush();
+  fleet.discovery.silence_open_watches();
   EXPECT_TRUE(fleet.opened(24, std::chrono::seconds(6))) << fleet.discovery.watches();
 }
 
@@ -77,16 +77,16 @@
 // Discovery handles one call at a time, so relays that start together must not call it at the same time.
 TEST(Backoff, SpreadsFirstCallsOfFleet) {
   int soon = 0;
-  for (uint64_t seed = 1; seed <= 100; ++seed) soon += Backoff(100, seed).next().count() < 500;
+  for (uint64_t seed = 1; seed <= 100; ++seed) soon += Backoff(100, seed).next_delay().count() < 500;
   EXPECT_LE(soon, 25);
-  EXPECT_LE(Backoff(1, 1).next().count(), 50);  // a single caller needs no spreading
+  EXPECT_LE(Backoff(1, 1).next_delay().count(), 50);  // a single caller needs no spreading
 }
 
 // The upper bound of the delay does not depend on the fleet's size.
 TEST(Backoff, GrowsToBoundWhileCallsFailAndResets) {
   const auto longest = [](Backoff& backoff, int calls) {
     std::chrono::milliseconds out{0};
-    for (int i = 0; i < calls; ++i) out = std::max(out, backoff.next());
+    for (int i = 0; i < calls; ++i) out = std::max(out, backoff.next_delay());
     return out.count();
   };
   Backoff small_fleet(4, 7);
@@ -107,13 +107,13 @@
        {"*17\r\n", "*1\r\n$65537\r\n", "*1\r\n$1234567890123", "x", "*1\r\n*1\r\n"}) {
     RespParser parser;
     parser.feed(bytes);
-    EXPECT_THROW(parser.next(), RespError) << bytes;
+    EXPECT_THROW(parser.next_command(), RespError) << bytes;
   }
   RespParser parser;
   parser.feed("*1\r\n$65536\r\n" + std::string(65536, 'x'));
-  EXPECT_FALSE(parser.next());
+  EXPECT_FALSE(parser.next_command());
   parser.feed("\r\n");
-  EXPECT_TRUE(parser.next());
+  EXPECT_TRUE(parser.next_command());
   EXPECT_TRUE(parser.empty());
 }
 
@@ -135,16 +135,16 @@
   const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> endpoints) {
     return parse_list(testing::list_json(revision, complete, std::move(endpoints)), names);
   };
-  Directory directory;
+  EndpointTable directory;
   const auto first = directory.apply(list(5, true, {testing::member_json("s-1", "127.0.0.1:80", 7)}), 1);
   const auto next = directory.apply(list(6, false, {testing::member_json("s-2", "127.0.0.1:80", 7)}), 2);
   ASSERT_TRUE(first && next);
   const Endpoint old = first->endpoints->front().endpoint;
   EXPECT_NE(old, next->endpoints->front().endpoint);
   EXPECT_FALSE(directory.apply(list(4, true, {}), 3));
-  EXPECT_TRUE(directory.active(old));
+  EXPECT_TRUE(directory.is_active(old));
   directory.apply(list(7, true, {}), 4);
-  EXPECT_FALSE(directory.active(old));
+  EXPECT_FALSE(directory.is_active(old));
 }
 
 // An agent may be behind another one: its list may advance the phase of endpoints and add new ones, but
@@ -157,9 +157,9 @@
   const auto list = [&](int revision, bool complete, std::vector<nlohmann::json> endpoints) {
     return parse_list(testing::list_json(revision, complete, std::move(endpoints)), names);
   };
-  Directory directory;
+  EndpointTable directory;
   const auto handle = [&](const std::string& id) {
-    for (const auto& [endpoint, host] : directory.hosts()) {
+    for (const auto& [endpoint, host] : directory.endpoints()) {
       if (host.id == id) return endpoint;
     }
     return Endpoint{};
@@ -171,19 +171,19 @@
   // s-2 was added after this list was made; s-4 is new.
   directory.apply(list(4, true, {member("s-1", "active"), member("s-3", "active"), member("s-4", "active")}),
                   3);
-  EXPECT_FALSE(directory.active(handle("s-1")));
-  EXPECT_TRUE(directory.active(handle("s-2")));
+  EXPECT_FALSE(directory.is_active(handle("s-1")));
+  EXPECT_TRUE(directory.is_active(handle("s-2")));
   EXPECT_EQ(handle("s-3"), Endpoint{});
-  EXPECT_TRUE(directory.active(handle("s-4")));
+  EXPECT_TRUE(directory.is_active(handle("s-4")));
   directory.apply(list(5, false, {member("s-4", "leaving")}), 4);
-  EXPECT_FALSE(directory.active(handle("s-4")));
+  EXPECT_FALSE(directory.is_active(handle("s-4")));
   EXPECT_EQ(directory.revision(), 10);
 }
 
 // New endpoints have new ids, so entries of endpoints that have left must not accumulate.
 TEST(Directory, ForgetsEndpointsThatHaveLeft) {
   const ListNames names{{"a"}, {"std"}};
-  Directory directory;
+  EndpointTable directory;
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "s-" + std::to_string(i);
     const Time now = Time{i} * 1'000'000;
@@ -191,12 +191,12 @@
       const auto json = testing::list_json(i, false, {testing::member_json(id, "127.0.0.1:80", 7, phase)});
       directory.apply(parse_list(json, names), now);
     }
-    directory.forget(directory.hosts().begin()->first);
-    directory.prune(now);
+    directory.forget(directory.endpoints().begin()->first);
+    directory.prune_removed(now);
   }
-  EXPECT_TRUE(directory.hosts().empty());
-  EXPECT_LT(directory.gone().size(), 200u);
-  EXPECT_TRUE(directory.known(7));
+  EXPECT_TRUE(directory.endpoints().empty());
+  EXPECT_LT(directory.removal_times().size(), 200u);
+  EXPECT_TRUE(directory.has_destination(7));
 }
 
 class JournalTest : public ::testing::Test {
@@ -292,12 +292,12 @@
   constexpr size_t kDiskBytes = 200'000;
   {
     Journal journal(folder_, kDiskBytes);
-    for (int i = 0; i < 10'000; ++i) journal.remember("a", std::to_string(i));
-    journal.remember("b", "x");
-    journal.remember("b", "");
+    for (int i = 0; i < 10'000; ++i) journal.record_fact("a", std::to_string(i));
+    journal.record_fact("b", "x");
+    journal.record_fact("b", "");
     EXPECT_LT(2 * bytes().size(), kDiskBytes);
   }
-  EXPECT_EQ(Journal(folder_, kDiskBytes).remembered(), (std::map<std::string, std::string>{{"a", "9999"}}));
+  EXPECT_EQ(Journal(folder_, kDiskBytes).facts(), (std::map<std::string, std::string>{{"a", "9999"}}));
 }
 
 // Otherwise the next process would resume a message that was already returned, and it would get two final
--- a/tests/relay/recovery_test.cpp
+++ b/tests/relay/recovery_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using relay::Journal;
-using relay::Recovered;
+using relay::JournaledMessage;
 
 constexpr size_t kDiskBytes = 3'000'000;
 constexpr size_t kHeaderBytes = 8;  // length and checksum of a record
@@ -129,7 +129,7 @@
       const std::string message_class = id == "m-known" ? "keyed" : id == "m-class" ? "gone" : "lost";
       ASSERT_TRUE(journal.record_accepted({id, message_class, "key", 7, 0, "body", ""}, deadline));
     }
-    journal.remember(
+    journal.record_fact(
         "class gone",
         R"({"effect":0,"scope":0,"window":0,"in_order":false,"target":1000000,"give_up":60000000,)"
         R"("worth":1.0,"late_worth":0.5})");  // safe
@@ -190,7 +190,7 @@
     }
     Program next(setup.config);
     if (scenario == "ended at upgrade") {
-      next.succeed(setup.program);
+      next.share_state_of(setup.program);
       next.start();
     } else {
       setup.restart();
@@ -375,7 +375,7 @@
     std::filesystem::copy_file(setup.program.state() / "journal", copy / "journal",
                                std::filesystem::copy_options::overwrite_existing);
     const Journal journal(copy, kDiskBytes);
-    for (const auto& [name, text] : journal.remembered()) count += name.starts_with("rules ");
+    for (const auto& [name, text] : journal.facts()) count += name.starts_with("rules ");
     return count;
   };
   setup.program.start();
@@ -389,7 +389,7 @@
     EXPECT_EQ(setup.put(id, put_fields("safe")), "+OK");
     EXPECT_EQ(id_of(setup.host.next()), id);
     setup.host.answer("200", "Connection: close\r\n");
-    setup.host.left();  // the answer is read, and recorded before the next submission is
+    setup.host.await_close();  // the answer is read, and recorded before the next submission is
   }
   EXPECT_EQ(setup.put("m-last", put_fields("keyed", 99)), "+OK");
   EXPECT_LE(count_terms(), 3u);
@@ -469,7 +469,7 @@
 
 std::map<std::string, MessageState> recovered_states(const Journal& journal) {
   std::map<std::string, MessageState> out;
-  for (const Recovered& entry : journal.recovered()) {
+  for (const JournaledMessage& entry : journal.recovered()) {
     MessageState state{entry.attempts, {}, entry.unacknowledged_answer.has_value()};
     for (const auto& [attempt, sent] : entry.possibly_run) state.possibly_run.insert(attempt);
     EXPECT_TRUE(out.emplace(entry.message.id, state).second);
@@ -638,7 +638,7 @@
         ASSERT_TRUE(journal.record_accepted({"m-held", "safe", "", 7, 0, "body", ""}, deadline + 60'000'000));
       }
     }
-    Inside relay;
+    InProcessRelay relay;
     {
       const FullDisk full(std::filesystem::file_size(folder.path / "journal"));
       relay.create(setup.config, folder.path);
@@ -661,7 +661,7 @@
     const auto deadline = relay::wall_now() + 60'000'000;
     ASSERT_TRUE(journal.record_accepted({"m-held", "safe", "", 99, 0, "body", ""}, deadline));
   }
-  Inside relay;
+  InProcessRelay relay;
   Socket client;
   {
     const FullDisk full(std::filesystem::file_size(folder.path / "journal"));
--- a/tests/relay/shutdown_test.cpp
+++ b/tests/relay/shutdown_test.cpp
@@ -59,13 +59,14 @@
 
   boost::asio::io_context io_;
   int puts_ = 0;
-  relay::Clients clients_{io_,
-                          {boost::asio::ip::address_v4::loopback(), 0},
-                          16,
-                          [this](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) {
-                            ++puts_;
-                            answer("+OK");
-                          }};
+  relay::Clients clients_{
+      io_,
+      {boost::asio::ip::address_v4::loopback(), 0},
+      16,
+      [this](const relay::SubmittedMessage&, const relay::Clients::AnswerHandler& answer) {
+        ++puts_;
+        answer("+OK");
+      }};
 };
 
 // Three connections, as one may already have been accepted when the listener closes.
@@ -81,7 +82,7 @@
     expect_end(each);
     each.close();
   }
-  run_until([&] { return clients_.ended(); });
+  run_until([&] { return clients_.has_ended(); });
   EXPECT_EQ(puts_, 3);
 }
 
@@ -113,10 +114,10 @@
   ASSERT_TRUE(busy.send(commands));
   run_until([&] { return puts_ > 0; });
   ASSERT_LT(puts_, kCommands);
-  clients_.read_no_more();
-  EXPECT_FALSE(clients_.answered());
+  clients_.stop_reading();
+  EXPECT_FALSE(clients_.has_answered_all());
   ASSERT_TRUE(busy.send(kPut));
-  run_until([&] { return clients_.answered(); });
+  run_until([&] { return clients_.has_answered_all(); });
   io_.restart();
   io_.run_for(std::chrono::milliseconds(150));
   EXPECT_EQ(puts_, kCommands);
@@ -133,10 +134,10 @@
   expect_end(idle_client);
   ASSERT_TRUE(idle_client.send(kPut));
   for (int i = 0; i < 3; ++i) io_.poll();
-  EXPECT_FALSE(clients_.ended());  // the process waits for the client to close
+  EXPECT_FALSE(clients_.has_ended());  // the process waits for the client to close
   EXPECT_EQ(peek(idle_client), 'e');
   ASSERT_EQ(::shutdown(idle_client.fd(), SHUT_WR), 0);
-  run_until([&] { return clients_.ended(); });
+  run_until([&] { return clients_.has_ended(); });
   EXPECT_EQ(peek(idle_client), 'e');
   EXPECT_EQ(puts_, 0);
 }
@@ -161,7 +162,7 @@
   ASSERT_TRUE(idle_client.send(kPing));
   expect_answer(idle_client, "+PONG");
   clients_.finish();
-  run_until([&] { return clients_.ended(); });
+  run_until([&] { return clients_.has_ended(); });
   EXPECT_EQ(peek(idle_client), 'e');
 }
 
@@ -175,7 +176,7 @@
   io_.run_one();  // runs the handler of the first connection
   size_t handed_over = 0;
   clients_.hand_over([&](const relay::ClientFrame&, int) { ++handed_over; });
-  run_until([&] { return clients_.answered(); });
+  run_until([&] { return clients_.has_answered_all(); });
   ASSERT_EQ(::fcntl(listener.fd(), F_SETFL, O_NONBLOCK), 0);
   size_t left = 0;
   while (listener.accept().open()) ++left;
@@ -212,7 +213,7 @@
 TEST_F(Shutdown, ServesCompleteCommandsReadAfterTheirTimeLimit) {
   relay::Clients clients(
       io_, {boost::asio::ip::address_v4::loopback(), 0}, 400,
-      [](const relay::SubmittedMessage&, const relay::Clients::Answer& answer) { answer("+OK"); });
+      [](const relay::SubmittedMessage&, const relay::Clients::AnswerHandler& answer) { answer("+OK"); });
   std::vector<Socket> connections;
   for (int i = 0; i < 250; ++i) {
     connections.push_back(Socket::connect(clients.address().port()));
@@ -230,7 +231,7 @@
   const Folder folder;
   Discovery discovery;
   Host host;
-  Inside inside;
+  InProcessRelay inside;
   auto port = inside.port.get_future();
   inside.create(config_json(discovery.address(), {member_json("s-1", host.address(), 7)}), folder.path);
   while (port.wait_for(std::chrono::seconds(0)) != std::future_status::ready) inside.io.run_one();
@@ -274,7 +275,7 @@
   const Folder folder;
   Discovery discovery;
   Host host;
-  Inside inside;
+  InProcessRelay inside;
   auto port = inside.port.get_future();
   inside.create(config_json(discovery.address(), {member_json("s-1", host.address(), 7)}), folder.path);
   inside.run();
--- a/tests/relay/stored_data_test.cpp
+++ b/tests/relay/stored_data_test.cpp
@@ -16,8 +16,8 @@
 using relay::DeliveryTermsStore;
 using relay::DurableClock;
 using relay::Journal;
+using relay::JournaledMessage;
 using relay::MessageOrdering;
-using relay::Recovered;
 
 constexpr size_t kDiskBytes = 1'000'000;
 constexpr uint64_t kOrderingKey = 0xfedcba9876543210;
@@ -31,7 +31,7 @@
     journal_.emplace(folder_.path, kDiskBytes);
   }
 
-  const Recovered& entry(size_t index) const { return journal_->recovered().at(index); }
+  const JournaledMessage& entry(size_t index) const { return journal_->recovered().at(index); }
 
   Folder folder_;
   std::optional<Journal> journal_;
@@ -40,7 +40,7 @@
 TEST_F(StoredJournal, RecoversUnfinishedMessagesInOrderOfAcceptance) {
   std::vector<std::string> ids;
   std::vector<policy::Time> deadlines;
-  for (const Recovered& message : journal_->recovered()) {
+  for (const JournaledMessage& message : journal_->recovered()) {
     ids.push_back(message.message.id);
     deadlines.push_back(message.deadline);
   }
@@ -51,22 +51,22 @@
 }
 
 TEST_F(StoredJournal, RecoversEachFieldOfAMessage) {
-  const Recovered& full = entry(0);
+  const JournaledMessage& full = entry(0);
   EXPECT_EQ(full.message.message_class, "orders");
-  EXPECT_EQ(full.message.key, "k-1");
+  EXPECT_EQ(full.message.idempotency_key, "k-1");
   EXPECT_EQ(full.message.destination, 7);
   EXPECT_EQ(full.message.body, std::string("body\0of\r\n", 9) + "untried");
   EXPECT_EQ(full.message.tenant, "tenant one");
   EXPECT_EQ(full.message.ordering_key, kOrderingKey);
   EXPECT_EQ(full.terms_number, 1);
   EXPECT_EQ(full.attempts, 0);
-  EXPECT_EQ(full.begun, 0);
+  EXPECT_EQ(full.calls_begun, 0);
   EXPECT_TRUE(full.possibly_run.empty());
   EXPECT_FALSE(full.unacknowledged_answer);
 
-  const Recovered& plain = entry(5);
+  const JournaledMessage& plain = entry(5);
   EXPECT_EQ(plain.message.message_class, "old-class");
-  EXPECT_EQ(plain.message.key, "");
+  EXPECT_EQ(plain.message.idempotency_key, "");
   EXPECT_EQ(plain.message.destination, 0);
   EXPECT_EQ(plain.message.body, "");
   EXPECT_EQ(plain.message.tenant, "");
@@ -75,9 +75,9 @@
 }
 
 TEST_F(StoredJournal, RecoversAttemptsThatMayHaveRun) {
-  const Recovered& tried = entry(1);
+  const JournaledMessage& tried = entry(1);
   EXPECT_EQ(tried.attempts, 2);
-  EXPECT_EQ(tried.begun, 2);
+  EXPECT_EQ(tried.calls_begun, 2);
   ASSERT_EQ(tried.possibly_run.size(), 2u);
   EXPECT_EQ(tried.possibly_run.at(0).sent_at, 100);
   EXPECT_EQ(tried.possibly_run.at(0).zone, 1);
@@ -86,9 +86,9 @@
   EXPECT_EQ(tried.possibly_run.at(1).zone, 2);
   EXPECT_EQ(tried.possibly_run.at(1).zone_name, "south");
 
-  const Recovered& not_started = entry(2);
+  const JournaledMessage& not_started = entry(2);
   EXPECT_EQ(not_started.attempts, 1);
-  EXPECT_EQ(not_started.begun, 1);
+  EXPECT_EQ(not_started.calls_begun, 1);
   EXPECT_TRUE(not_started.possibly_run.empty());
 }
 
@@ -106,13 +106,13 @@
 
 TEST_F(StoredJournal, RecoversFacts) {
   std::vector<std::string> names;
-  for (const auto& [name, value] : journal_->remembered()) names.push_back(name);
+  for (const auto& [name, value] : journal_->facts()) names.push_back(name);
   EXPECT_EQ(names, (std::vector<std::string>{"class old-class", "clock", "fence rebalancer", "rest 7",
                                              "revision", "rules 1"}));
-  EXPECT_EQ(journal_->remembered().at("clock"), "b5f0a1 1760000000000000");
-  EXPECT_EQ(journal_->remembered().at("fence rebalancer"), "17");
-  EXPECT_EQ(journal_->remembered().at("rest 7"), "9000000000000000");
-  EXPECT_EQ(journal_->remembered().at("revision"), "42");
+  EXPECT_EQ(journal_->facts().at("clock"), "b5f0a1 1760000000000000");
+  EXPECT_EQ(journal_->facts().at("fence rebalancer"), "17");
+  EXPECT_EQ(journal_->facts().at("rest 7"), "9000000000000000");
+  EXPECT_EQ(journal_->facts().at("revision"), "42");
 }
 
 TEST_F(StoredJournal, RecoversDeliveryTerms) {
@@ -149,7 +149,7 @@
 TEST_F(StoredJournal, RecoversOrderingHolds) {
   const DurableClock clock(DurableClock::read_machine(), "");
   const MessageOrdering ordering(*journal_, clock);
-  EXPECT_EQ(ordering.held_back_keys(), std::vector<uint64_t>{7});
+  EXPECT_EQ(ordering.held_keys(), std::vector<uint64_t>{7});
 }
 
 }  // namespace
--- a/tests/relay/system_faults_test.cpp
+++ b/tests/relay/system_faults_test.cpp
@@ -39,7 +39,7 @@
                   {member_json("s-1", host.address(), 7), member_json("s-0", host.address(), 99, "leaving")});
   Program program{config};
 
-  FaultyMachine() { program.meet(faults); }
+  FaultyMachine() { program.inject(faults); }
   void start() {
     program.configure(config.dump());
     program.start();
@@ -150,8 +150,8 @@
     std::this_thread::sleep_for(milliseconds(200));
     s.faults->wall_clock_step_us = step;
     Program next(s.config);
-    next.meet(s.faults);
-    next.succeed(s.program);
+    next.inject(s.faults);
+    next.share_state_of(s.program);
     next.start();
     s.host.drop();
     EXPECT_EQ(id_of(s.host.next()), "m-1");
--- a/tests/relay/upstream_test.cpp
+++ b/tests/relay/upstream_test.cpp
@@ -22,7 +22,7 @@
   }
 
   policy::AttemptEnded call_to(uint16_t port, Time timeout) {
-    Call next;
+    AttemptRequest next;
     next.id = ++last_id_;
     next.endpoint = {1, 0};
     next.address = {boost::asio::ip::address_v4::loopback(), port};
@@ -41,17 +41,17 @@
                                                std::vector<Time> timeouts,
                                                const std::vector<bool>& is_last = {false, false, false}) {
     std::thread host([&] { endpoint_part(host_); });
-    std::vector<Call> calls;
+    std::vector<AttemptRequest> calls;
     for (size_t i = 0; i < timeouts.size(); ++i) {
-      Call next;
+      AttemptRequest next;
       next.id = i;
       next.endpoint = {1, 0};
       next.address = {boost::asio::ip::address_v4::loopback(), host_.port()};
       next.call_id = std::string(1, static_cast<char>('a' + i));
-      next.key = i == 1 ? "" : "k" + next.call_id;
+      next.idempotency_key = i == 1 ? "" : "k" + next.call_id;
       next.body = std::string(i + 1, 'x');
       next.timeout = timeouts[i];
-      next.last = is_last[i];
+      next.is_last_attempt = is_last[i];
       calls.push_back(std::move(next));
     }
     ends_.clear();
@@ -88,7 +88,7 @@
   Upstream upstream_{io_,
                      {1'000'000, 10'000'000, 16},
                      {"x0", "x1"},
-                     [this](const Call&) { return may_start_; },
+                     [this](const AttemptRequest&) { return may_start_; },
                      [this](const policy::AttemptEnded& end, bool call_started) {
                        ended_ = end;
                        ends_.push_back(end);
@@ -183,7 +183,7 @@
 }
 
 TEST_F(UpstreamTest, CancellingOneMessageEndsItsBatch) {
-  std::vector<Call> calls(2);
+  std::vector<AttemptRequest> calls(2);
   for (size_t i = 0; i < calls.size(); ++i) {
     calls[i].id = i;
     calls[i].endpoint = {1, 0};
@@ -256,7 +256,7 @@
     const policy::AttemptEnded end = call([&](Host& host) {
       host.next();
       host.raw(bytes);
-      EXPECT_TRUE(host.left());
+      EXPECT_TRUE(host.await_close());
     });
     EXPECT_EQ(end.outcome, policy::Outcome::kMalformedResponse) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
@@ -273,7 +273,7 @@
     const policy::AttemptEnded end = call([&](Host& host) {
       host.next();
       host.raw(bytes);
-      EXPECT_TRUE(host.left());
+      EXPECT_TRUE(host.await_close());
     });
     EXPECT_EQ(end.outcome, policy::Outcome::kOk) << bytes.substr(0, 60);
     EXPECT_TRUE(end.final);
@@ -291,7 +291,7 @@
         host.next();
         host.raw(line.substr(0, cut));
         if (!stays_open) return host.drop();
-        EXPECT_TRUE(host.left());
+        EXPECT_TRUE(host.await_close());
       });
       EXPECT_EQ(end.outcome, cut == line.size() ? policy::Outcome::kOk : policy::Outcome::kMalformedResponse)
           << line.substr(0, cut);
--- a/tests/sim/wire_test.cpp
+++ b/tests/sim/wire_test.cpp
@@ -117,8 +117,8 @@
   const auto events = decode(decoder, 5,
                              "0c 0003 01 0000000000000009 00000003 613d62 0a"
                              "08 0a9011f2 1b84 01 3f56f0068db8bac7 00 09 0002 0004 68692037");
-  EXPECT_EQ(std::get<PowerOn>(events.at(0).event).facts, "a=b");
-  EXPECT_TRUE(std::holds_alternative<Kill>(events.at(1).event));
+  EXPECT_EQ(std::get<InstanceStart>(events.at(0).event).settings_text, "a=b");
+  EXPECT_TRUE(std::holds_alternative<InstanceKill>(events.at(1).event));
   EXPECT_TRUE(event<policy::HealthCheckEnded>(events.at(2)).ok);
   EXPECT_EQ(event<policy::GossipReceived>(events.at(3)).bytes, "hi 7");
 }
@@ -127,8 +127,8 @@
   Encoder out;
   const std::vector<policy::Action> actions = {
       policy::SendAttempt{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000}, policy::SetTimer{77, 8'912'250}};
-  out.actions(3, actions);
-  out.actions(4, {});
+  out.add_actions(3, actions);
+  out.add_actions(4, {});
   const std::vector<policy::Action> more = {policy::Reject{5, 300'000},
                                             policy::Fail{6},
                                             policy::Cancel{7, 1},
@@ -137,7 +137,7 @@
                                             policy::OpenListWatch{},
                                             policy::Log{"hi"},
                                             policy::SendGossip{"hi"}};
-  out.actions(5, more);
+  out.add_actions(5, more);
   EXPECT_EQ(out.frame(), bytes("0000006e 0000000c"
                                "04 0003 07 000ae1aa5d3a91c4 0a124a07 1b5b 3fb47ae147ae147b"
                                "03 000000000000004d 4021d3126e978d50"
@@ -148,7 +148,7 @@
 
 TEST(Wire, WritesPanicWithInstance) {
   Encoder out;
-  out.panic(3, "oh");
+  out.add_panic(3, "oh");
   EXPECT_EQ(out.frame(), bytes("00000008 00000002 04 0003 06 0002 6f68"));
 }
 
--- a/tests/support/handover_peers.h
+++ b/tests/support/handover_peers.h
@@ -33,7 +33,7 @@
 inline std::string id_of(const Request& call) { return call.headers.at("x-call-id"); }
 inline nlohmann::json failed(const std::string& id) { return {{"id", id}, {"state", "failed"}}; }
 
-struct Side {
+struct HandoverFixture {
   Host host;
   Discovery discovery;
   nlohmann::json config =
@@ -54,31 +54,31 @@
 };
 
 // A predecessor that the test plays: it sends each frame when the test calls for it.
-struct Before {
+struct TestPredecessor {
   boost::asio::io_context io;
   Handover handover;
   bool asked = false;
   Socket listener = Socket::listen();
 
-  explicit Before(const std::filesystem::path& folder) : handover(io, folder) {
+  explicit TestPredecessor(const std::filesystem::path& folder) : handover(io, folder) {
     handover.await_successor([this] { asked = true; });
   }
-  void await_asked() {
+  void await_request() {
     while (!asked && io.run_one_for(std::chrono::milliseconds(kDeadlineMs)) > 0) continue;
     ASSERT_TRUE(asked);
   }
-  void give_call(const std::string& id, int attempt, const std::string& host = "s-1") {
+  void send_call(const std::string& id, int attempt, const std::string& host = "s-1") {
     const nlohmann::json call = {
         {"host", host}, {"since", relay::steady_now()}, {"messages", {{id, attempt}}}};
     EXPECT_TRUE(handover.send_frame(HandoverFrame::kCall, call.dump()));
   }
-  void give_end(const std::string& id, policy::Outcome outcome, policy::Time wait = 0) {
+  void send_end(const std::string& id, policy::Outcome outcome, policy::Time wait = 0) {
     const nlohmann::json ended = {
         {"id", id},     {"outcome", static_cast<int>(outcome)}, {"final", false}, {"took", 1},
         {"wait", wait}, {"report", nlohmann::json::array()},    {"began", true}};
     EXPECT_TRUE(handover.send_frame(HandoverFrame::kEnded, ended.dump()));
   }
-  void give_listener() { EXPECT_TRUE(handover.send_frame(HandoverFrame::kListener, "", listener.fd())); }
+  void send_listener() { EXPECT_TRUE(handover.send_frame(HandoverFrame::kListener, "", listener.fd())); }
   // Returns a connection that this process has accepted: the client's end and its own. It uses another
   // listener than the one that is handed over, as the successor accepts from that one too.
   std::pair<Socket, Socket> accept_client() const {
@@ -114,9 +114,9 @@
 }
 
 // A successor that the test plays: it asks for the handover and receives the frames.
-class Asker {
+class TestSuccessor {
  public:
-  explicit Asker(const std::filesystem::path& folder) {
+  explicit TestSuccessor(const std::filesystem::path& folder) {
     struct stat about {};
     EXPECT_EQ(::stat((folder / "lock").c_str(), &about), 0);
     const std::string name =
@@ -152,7 +152,7 @@
     }
     return out;
   }
-  void tell(HandoverFrame::Kind kind, const std::string& text) {
+  void send(HandoverFrame::Kind kind, const std::string& text) {
     EXPECT_TRUE(socket_.send(static_cast<char>(kind) + text));
   }
   void leave() { socket_.close(); }
--- a/tests/support/inside.h
+++ b/tests/support/inside.h
@@ -16,7 +16,7 @@
 
 namespace turntally::testing {
 
-struct Inside {
+struct InProcessRelay {
   boost::asio::io_context io;
   std::optional<relay::Relay> relay;
   std::promise<uint16_t> port;
@@ -29,7 +29,7 @@
   void run() {
     loop_end = std::async(std::launch::async, [this] { io.run(); });
   }
-  ~Inside() {
+  ~InProcessRelay() {
     io.stop();
     if (loop_end.valid()) loop_end.wait();
   }
--- a/tests/support/peers.h
+++ b/tests/support/peers.h
@@ -72,8 +72,8 @@
   void answer(const std::string& status, const std::string& headers = "");
   void raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
   // Accepts another connection, while the call on the first waits.
-  Socket beside() { return listener_.accept(); }
-  bool left() { return connection_.ended(); }  // waits until the caller has closed
+  Socket accept_another() { return listener_.accept(); }
+  bool await_close() { return connection_.ended(); }  // waits until the caller has closed
   void drop() { connection_.close(); }
   void reset() { connection_.reset(); }
   int connections() const { return connections_; }
@@ -90,10 +90,10 @@
   Discovery();
   ~Discovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-  void tell(const nlohmann::json& list);       // sends a list to all present and future watches
-  void tell(const std::string& text);          // the same with the exact text of the line
-  void hush() { hushed_ = watches_.load(); }   // open watches stay open but send nothing more
-  int watches() const { return watches_; }     // number of watches opened so far
+  void tell(const nlohmann::json& list);  // sends a list to all present and future watches
+  void tell(const std::string& text);     // the same with the exact text of the line
+  void silence_open_watches() { hushed_ = watches_.load(); }  // open watches stay open but send nothing more
+  int watches() const { return watches_; }                    // number of watches opened so far
   nlohmann::json notice();                     // the next notice that was answered 204; null at the deadline
   void refuse(int count) { refuse_ = count; }  // the next `count` posts are answered 503
   // The next `count` posts are read but not answered, with the connection open.
@@ -135,9 +135,11 @@
 
   void start(int descriptors = 0);
   bool start_refused();  // true if it exits with status 1 after one line that says why
-  void succeed(const Program& before) { state_ = before.state(); }    // shares the predecessor's state folder
-  void log_at(const std::string& level) { level_ = level; }           // from the next start on
-  void meet(const SystemFaults& faults) { faults_ = faults.file(); }  // from the next start on
+  void share_state_of(const Program& before) {
+    state_ = before.state();
+  }                                                          // shares the predecessor's state folder
+  void log_at(const std::string& level) { level_ = level; }  // from the next start on
+  void inject(const SystemFaults& faults) { faults_ = faults.file(); }  // from the next start on
   // Replaces the configuration file, which is read at start and on SIGHUP.
   void configure(const std::string& text);
   void signal(int number);
--- a/tests/support/transcript.cpp
+++ b/tests/support/transcript.cpp
@@ -143,8 +143,8 @@
 
 void Transcript::note(const std::string& text) { text_ += "\n== " + with_placeholders(text) + "\n"; }
 
-void Transcript::said(const std::string& from, const std::string& to, const std::string& head,
-                      const std::string& what) {
+void Transcript::add_message(const std::string& from, const std::string& to, const std::string& head,
+                             const std::string& what) {
   text_ += "\n" + from + " -> " + to + ": " + with_placeholders(head) + "\n";
   for (const std::string& line : lines_of(with_placeholders(what))) {
     text_ += (line.empty() ? "" : "    ") + line.substr(0, kMaxLineBytes) +
@@ -154,7 +154,7 @@
 
 std::string Transcript::text() const { return text_; }
 
-std::string Transcript::judge() const {
+std::string Transcript::compare_with_approved() const {
   std::ifstream in(path_, std::ios::binary);
   const bool exists = in.good();
   const std::string approved{std::istreambuf_iterator<char>(in), {}};
@@ -174,7 +174,7 @@
 }
 
 void Transcript::check() const {
-  if (const std::string why = judge(); !why.empty()) ADD_FAILURE() << why;
+  if (const std::string why = compare_with_approved(); !why.empty()) ADD_FAILURE() << why;
 }
 
 Child::Child(std::vector<std::string> command, const std::string& folder,
--- a/tests/support/transcript.h
+++ b/tests/support/transcript.h
@@ -30,14 +30,14 @@
   void title(const std::string& text);
   void note(const std::string& text);  // an event beside the exchange
   // Adds a message; the lines of `what` follow `head`, indented.
-  void said(const std::string& from, const std::string& to, const std::string& head,
-            const std::string& what = "");
+  void add_message(const std::string& from, const std::string& to, const std::string& head,
+                   const std::string& what = "");
 
   std::string text() const;
   // Returns an empty string if the text is the approved one, otherwise the difference. With
   // TURNTALLY_APPROVE=1 it replaces the approved text and returns a message that says so: a run that approves
   // never passes.
-  std::string judge() const;
+  std::string compare_with_approved() const;
   void check() const;  // fails the test with the result of judge(), unless that is empty
 
  private:
